--- a/src/libcaraway/router/core.cpp
+++ b/src/libcaraway/router/core.cpp
@@ -139,7 +139,7 @@
     }
     pumping_ = true;
     const auto at = now();
-    const auto order = line.order([&](const auto& id) { return shares.fill(id, at); });
+    const auto order = line.order([&](const auto& id) { return shares.share_used(id, at); });
     std::size_t misses = 0;
     for (const auto id : order)
     {
@@ -177,16 +177,16 @@
     }
 }
 
-routing::ticket core::wait(const std::shared_ptr<request_session>& session,
-                           const routing::waiting_request& request)
+routing::wait_id core::wait(const std::shared_ptr<request_session>& session,
+                            const routing::waiting_request& request)
 {
     const auto id = line.add(request);
     waiting_[id] = session;
-    timers.at(request.until, [this] { expire_waiting(); });
+    timers.at(request.expires, [this] { expire_waiting(); });
     return id;
 }
 
-void core::stop_waiting(routing::ticket id)
+void core::stop_waiting(routing::wait_id id)
 {
     line.remove(id);
     waiting_.erase(id);
--- a/src/libcaraway/router/core.hpp
+++ b/src/libcaraway/router/core.hpp
@@ -6,7 +6,7 @@
 #include "libcaraway/router/ports.hpp"
 #include "libcaraway/router/settings.hpp"
 #include "libcaraway/routing/crash_watch.hpp"
-#include "libcaraway/routing/load_board.hpp"
+#include "libcaraway/routing/load_tracker.hpp"
 #include "libcaraway/routing/overload_guard.hpp"
 #include "libcaraway/routing/peer_table.hpp"
 #include "libcaraway/routing/placer.hpp"
@@ -14,7 +14,7 @@
 #include "libcaraway/routing/retry_ledger.hpp"
 #include "libcaraway/routing/route_table.hpp"
 #include "libcaraway/routing/slow_start.hpp"
-#include "libcaraway/routing/waiting_line.hpp"
+#include "libcaraway/routing/wait_queue.hpp"
 #include "libcaraway/routing/workspace_shares.hpp"
 #include "libcaraway/scheduling/upstream_health.hpp"
 #include "libcaraway/telemetry/line_log.hpp"
@@ -70,9 +70,9 @@
     /// Refuses those that have waited for too long.
     void expire_waiting();
 
-    routing::ticket wait(const std::shared_ptr<request_session>& session,
-                         const routing::waiting_request& request);
-    void stop_waiting(routing::ticket id);
+    routing::wait_id wait(const std::shared_ptr<request_session>& session,
+                          const routing::waiting_request& request);
+    void stop_waiting(routing::wait_id id);
 
     void note_attempt(const base::upstream_id& id, const base::service_id& service,
                       scheduling::attempt_result result);
@@ -105,9 +105,9 @@
     metrics::registry metrics;
     routing::upstream_directory directory;
     routing::slow_start cold;
-    routing::load_board board;
+    routing::load_tracker board;
     routing::workspace_shares shares;
-    routing::waiting_line line;
+    routing::wait_queue line;
     routing::retry_ledger retries;
     routing::crash_watch crashes;
     routing::refused_requests refused;
@@ -130,7 +130,7 @@
     void log_crash(const std::optional<attempts::upstream_crash>& crash);
 
     std::shared_ptr<const routing::route_table> table_;
-    std::map<routing::ticket, std::weak_ptr<request_session>> waiting_;
+    std::map<routing::wait_id, std::weak_ptr<request_session>> waiting_;
     std::map<base::upstream_id, std::map<request_session*, std::weak_ptr<request_session>>>
         at_upstreams_;
     std::mt19937_64 random_;
--- a/src/libcaraway/router/daemon.cpp
+++ b/src/libcaraway/router/daemon.cpp
@@ -137,7 +137,7 @@
     };
     callers_ = make(
         limits, [this](const auto& request) { core_.handle(request); }, for_callers);
-    callers_->set_admission([this] { return core_.overload.take_connection(core_.streams); });
+    callers_->set_admission([this] { return core_.overload.record_connection(core_.streams); });
     readiness_ = make(
         own_limits, [this](const auto& request) { answer_readiness(request); }, others);
     directory_ = make(
@@ -178,7 +178,7 @@
     const auto now = core_.now();
     notice_lateness(now);
     resume_listening();
-    core_.board.drop_old_peers(now, peers_.period() * lost_digests);
+    core_.board.expire_peers(now, peers_.period() * lost_digests);
     if (now >= next_rate_)
     {
         account_second(now);
@@ -227,9 +227,9 @@
         core_.log.line("stood_still", {{"for_ms", since.count()}});
     }
     latest_tick_ = std::max(latest_tick_, since - tick_period);
-    const bool was_busy = core_.overload.busy();
-    core_.overload.note_tick(since - tick_period, core_.streams);
-    if (was_busy != core_.overload.busy())
+    const bool was_busy = core_.overload.overloaded();
+    core_.overload.record_tick(since - tick_period, core_.streams);
+    if (was_busy != core_.overload.overloaded())
     {
         core_.log.line("overload", {{"busy", !was_busy},
                                     {"late_ms", (since - tick_period).count()},
--- a/src/libcaraway/router/daemon_answers.cpp
+++ b/src/libcaraway/router/daemon_answers.cpp
@@ -127,7 +127,7 @@
     set("caraway_peers", "Other routers known.", static_cast<double>(peers_.size()));
     set("caraway_streams", "Requests for engines under way.", static_cast<double>(core_.streams));
     set("caraway_overloaded", "1 while the processor's limit is reached.",
-        core_.overload.busy() ? 1 : 0);
+        core_.overload.overloaded() ? 1 : 0);
     set("caraway_connection_refusals",
         "Times that new connections of callers were refused for the rest of a tick, ever.",
         static_cast<double>(callers_->refusals()));
@@ -159,7 +159,7 @@
                              {"cold", core_.cold.is_cold(id, now)},
                              {"ejected", core_.health.ejected(id, now)},
                              {"running", load.running},
-                             {"unread_tokens", load.unread_tokens}});
+                             {"unread_tokens", load.pending_prefill_tokens}});
     }
     auto peers = nlohmann::ordered_json::array();
     for (const auto& [id, each] : peers_.all())
--- a/src/libcaraway/router/daemon_peers.cpp
+++ b/src/libcaraway/router/daemon_peers.cpp
@@ -107,7 +107,7 @@
 /// and answers it at once when the configuration changes.
 void daemon::choose_configuration_source(bool asks)
 {
-    if (asks || core_.overload.busy())
+    if (asks || core_.overload.overloaded())
     {
         configurations_->wake();
     }
@@ -309,10 +309,10 @@
     out.number = ++digests_;
     out.version = core_.version();
     out.store_held = std::chrono::duration_cast<milliseconds>(upstreams_->held(now));
-    out.loads = core_.board.own();
-    out.usages = core_.shares.own(now);
+    out.loads = core_.board.own_loads();
+    out.usages = core_.shares.own_usages(now);
     out.suspects = core_.crashes.entries(now);
-    out.refused = core_.refused.told(told_digests * peers_.period(), now);
+    out.refused = core_.refused.recent_own(told_digests * peers_.period(), now);
     if (now >= next_readings_)
     {
         next_readings_ = now + readings_period;
--- a/src/libcaraway/router/daemon_report.cpp
+++ b/src/libcaraway/router/daemon_report.cpp
@@ -19,18 +19,18 @@
 /// -1: there is none.
 std::int64_t told_limit(std::size_t limit)
 {
-    return limit == routing::stepped_limit::unlimited ? -1 : static_cast<std::int64_t>(limit);
+    return limit == routing::adaptive_limit::unlimited ? -1 : static_cast<std::int64_t>(limit);
 }
 
 nlohmann::ordered_json to_json(const routing::workspace_view& of)
 {
     return {{"workspace", of.id.str()},
-            {"own_asked", whole(of.own.asked)},
+            {"own_asked", whole(of.own.demanded)},
             {"own_served", whole(of.own.served)},
-            {"asked", whole(of.all.asked)},
-            {"served", whole(of.all.served)},
-            {"fill", hundredths(of.stands.fill)},
-            {"ahead", hundredths(of.stands.ahead)}};
+            {"asked", whole(of.fleet_total.demanded)},
+            {"served", whole(of.fleet_total.served)},
+            {"fill", hundredths(of.status.share_used)},
+            {"ahead", hundredths(of.status.excess_ratio)}};
 }
 
 }  // namespace
@@ -39,7 +39,7 @@
 {
     const auto done = work();
     request_rate_ = static_cast<double>(done.requests - counted_.requests);
-    if (core_.overload.busy())
+    if (core_.overload.overloaded())
     {
         log_work(counted_, done);
     }
@@ -74,9 +74,9 @@
 void daemon::log_shares(base::time_point now)
 {
     auto told = nlohmann::ordered_json::array();
-    for (const auto& each : core_.shares.most_asked(workspaces_told, now))
+    for (const auto& each : core_.shares.highest_demand(workspaces_told, now))
     {
-        if (each.all.served < each.all.asked)
+        if (each.fleet_total.served < each.fleet_total.demanded)
         {
             told.push_back(to_json(each));
         }
@@ -88,7 +88,7 @@
     const auto basis = core_.shares.basis(now);
     core_.log.line("shares", {{"even_share", whole(basis.even_share)},
                               {"backlogged", basis.backlogged},
-                              {"least_flooding", whole(basis.least_flooding)},
+                              {"least_flooding", whole(basis.min_backlogged_served)},
                               {"mean_age_ms", basis.mean_age.count()},
                               {"oldest_age_ms", basis.oldest_age.count()},
                               {"workspaces", told}});
--- a/src/libcaraway/router/request_attempts.cpp
+++ b/src/libcaraway/router/request_attempts.cpp
@@ -61,12 +61,12 @@
     ticket_.reset();
     const auto now = core_.now();
     const auto id = place.where.id;
-    core_.board.begin(id, place.load);
+    core_.board.record_start(id, place.load);
     if (service_->engine)
     {
         if (!counted_)
         {
-            core_.shares.count_served(account_, tokens(), now);
+            core_.shares.record_served(account_, tokens(), now);
             counted_ = true;
         }
         core_.placer.note_sent(id, facts_.parts, now);
@@ -165,11 +165,11 @@
     if (!of.prompt_read)
     {
         of.prompt_read = true;
-        core_.board.prompt_read(of.place.where.id, of.place.load.unread_tokens);
+        core_.board.record_prefill_done(of.place.where.id, of.place.load.pending_prefill_tokens);
         core_.pace.note(of.place.where.id, of.place.ahead,
-                        static_cast<std::uint32_t>(of.place.load.unread_tokens),
+                        static_cast<std::uint32_t>(of.place.load.pending_prefill_tokens),
                         core_.now() - of.sent, core_.now());
-        of.place.load.unread_tokens = 0;
+        of.place.load.pending_prefill_tokens = 0;
     }
     begin_answer(of);
     note_pause();
@@ -341,7 +341,7 @@
         return;
     }
     counted_ = false;
-    core_.shares.count_lost(account_, tokens(), core_.now());
+    core_.shares.retract_served(account_, tokens(), core_.now());
 }
 
 void request_session::release_attempt()
@@ -354,7 +354,7 @@
     attempt_.reset();
     core_.timers.cancel(last->silence_timer);
     core_.leave_upstream(last->place.where.id, *this);
-    core_.board.end(last->place.where.id, last->place.load);
+    core_.board.record_end(last->place.where.id, last->place.load);
     // A call that ended well has given its connection back; any other may still bring bytes.
     if (last->connection)
     {
--- a/src/libcaraway/router/request_end.cpp
+++ b/src/libcaraway/router/request_end.cpp
@@ -89,8 +89,9 @@
     {
         core_.refused.add(mark(), core_.now());
     }
-    const auto come_back = std::min(routing::retry_after(*route_, standing().fill, core_.draw()),
-                                    std::max(milliseconds(0), time_left() / 3));
+    const auto come_back =
+        std::min(routing::retry_after(*route_, standing().share_used, core_.draw()),
+                 std::max(milliseconds(0), time_left() / 3));
     answer(http::status::service_unavailable, reason, come_back);
 }
 
@@ -164,8 +165,8 @@
         line["sent"] = sent_;
         line["returned"] = returned_;
         const auto of = standing();
-        line["fill"] = hundredths(of.fill);
-        line["ahead"] = hundredths(of.ahead);
+        line["fill"] = hundredths(of.share_used);
+        line["ahead"] = hundredths(of.excess_ratio);
     }
     if (!tried_.empty())
     {
@@ -181,7 +182,7 @@
     {
         line["placed_ms"] = milliseconds_of(sent_at_ - request_->arrived()).count();
         line["wait_ms"] = sent_by_->wait.count();
-        line["unread"] = sent_by_->load.unread_tokens;
+        line["unread"] = sent_by_->load.pending_prefill_tokens;
         line["running"] = sent_by_->running;
         if (sent_by_->source)
         {
--- a/src/libcaraway/router/request_session.cpp
+++ b/src/libcaraway/router/request_session.cpp
@@ -114,8 +114,8 @@
     // Those that return count as asked again: the more are refused, the stricter the terms beyond
     // shares. Left out, engines took a fifth more than they could do on time (worth 0.02 lower on
     // three deployments, n 54).
-    returned_ = core_.refused.knows(mark(), core_.now());
-    core_.shares.count_asked(account_, tokens(), core_.now());
+    returned_ = core_.refused.contains(mark(), core_.now());
+    core_.shares.record_demand(account_, tokens(), core_.now());
 }
 
 bool request_session::enter()
@@ -136,7 +136,7 @@
     }
     // A busy router reads late: the caller's close may lie unread behind its request, and a request
     // must not reach an upstream for nobody.
-    if (core_.overload.busy() && request_->caller_has_left())
+    if (core_.overload.overloaded() && request_->caller_has_left())
     {
         request_->abort();
         end("caller_left", 0, "before_sending");
@@ -165,9 +165,9 @@
     }
     const auto now = core_.now();
     const auto terms = routing::admit(*route_, standing(), {});
-    const auto until =
-        std::min((sent_ > 0 ? now : request_->arrived()) + terms.hold, deadline_ - least_time);
-    const bool full = core_.line.size() >= routing::admission_options{}.longest_line;
+    const auto until = std::min((sent_ > 0 ? now : request_->arrived()) + terms.max_queue_time,
+                                deadline_ - least_time);
+    const bool full = core_.line.size() >= routing::admission_options{}.max_queue_length;
     if (full || until <= now)
     {
         no_place(reason_of_no_place("no_place"));
@@ -176,10 +176,10 @@
     const auto priority = workspace_ && workspace_->priority ? *workspace_->priority : 0;
     ticket_ = core_.wait(shared_from_this(), {.workspace = account_,
                                               .service = service_->id,
-                                              .returned = returned_,
+                                              .resubmitted = returned_,
                                               .priority = priority * 1000 + route_->priority,
                                               .arrived = request_->arrived(),
-                                              .until = until});
+                                              .expires = until});
 }
 
 bool request_session::try_place()
@@ -201,7 +201,7 @@
 {
     core_.hear_peers();
     const auto terms = routing::admit(*route_, standing(), {});
-    if (terms.closed)
+    if (terms.blocked)
     {
         return std::nullopt;
     }
@@ -216,7 +216,7 @@
                                              .slot_share = terms.slot_share,
                                              .cold = core_.cold.any() ? &core_.cold : nullptr,
                                              .draw = core_.draw(),
-                                             .most_repeated = terms.most_repeated};
+                                             .most_repeated = terms.max_repeated_tokens};
     auto found =
         core_.placer.choose(request, core_.directory, core_.board, core_.health, core_.pace, now);
     cold_passed_over_ = !found && core_.cold.passed_over() != passed_over;
@@ -287,7 +287,7 @@
     core_.pump();
 }
 
-routing::request_mark request_session::mark() const
+routing::request_fingerprint request_session::mark() const
 {
     using scheduling::combine;
     using scheduling::stable_hash;
@@ -298,17 +298,17 @@
     {
         hash = combine(hash, stable_hash(facts_.parts.back().id));
     }
-    return routing::request_mark{static_cast<std::uint32_t>(hash)};
+    return routing::request_fingerprint{static_cast<std::uint32_t>(hash)};
 }
 
-routing::standing request_session::standing() const
+routing::share_status request_session::standing() const
 {
     // Shares are of engines; plain services are far from full.
     if (service_ == nullptr || !service_->engine)
     {
         return {};
     }
-    return core_.shares.of(account_, returned_, core_.now());
+    return core_.shares.status(account_, returned_, core_.now());
 }
 
 double request_session::tokens() const
--- a/src/libcaraway/router/request_session.hpp
+++ b/src/libcaraway/router/request_session.hpp
@@ -86,8 +86,8 @@
     /// Upstreams crashed under it, at this router or others, so that no more may run it.
     bool crashes_upstreams();
     /// By which it is known again at whichever router, and cheap enough for each request.
-    routing::request_mark mark() const;
-    routing::standing standing() const;
+    routing::request_fingerprint mark() const;
+    routing::share_status standing() const;
     double tokens() const;
     std::uint32_t expected_output() const;
     std::chrono::milliseconds time_left() const;
@@ -102,7 +102,7 @@
     base::workspace_id account_;
     base::time_point deadline_{};
     http::timer_queue::handle deadline_timer_;
-    std::optional<routing::ticket> ticket_;
+    std::optional<routing::wait_id> ticket_;
     std::shared_ptr<attempt> attempt_;
     std::vector<base::upstream_id> tried_;
     std::uint32_t sent_ = 0;
--- a/src/libcaraway/routing/digest.cpp
+++ b/src/libcaraway/routing/digest.cpp
@@ -21,7 +21,7 @@
     auto out = json::array();
     for (const auto& [id, load] : loads)
     {
-        out.push_back({id.str(), load.running, load.unread_tokens, load.held_tokens});
+        out.push_back({id.str(), load.running, load.pending_prefill_tokens, load.held_tokens});
     }
     return out;
 }
@@ -33,7 +33,7 @@
     {
         loads[base::upstream_id(each.at(0).get<std::string>())] = {
             .running = each.at(1).get<std::uint32_t>(),
-            .unread_tokens = each.at(2).get<std::uint64_t>(),
+            .pending_prefill_tokens = each.at(2).get<std::uint64_t>(),
             .held_tokens = each.at(3).get<std::uint64_t>()};
     }
     return loads;
@@ -44,7 +44,7 @@
     auto out = json::array();
     for (const auto& [id, usage] : usages)
     {
-        out.push_back({id.str(), static_cast<std::uint64_t>(usage.asked),
+        out.push_back({id.str(), static_cast<std::uint64_t>(usage.demanded),
                        static_cast<std::uint64_t>(usage.served)});
     }
     return out;
@@ -56,7 +56,7 @@
     for (const auto& each : from)
     {
         usages[base::workspace_id(each.at(0).get<std::string>())] = {
-            .asked = each.at(1).get<double>(), .served = each.at(2).get<double>()};
+            .demanded = each.at(1).get<double>(), .served = each.at(2).get<double>()};
     }
     return usages;
 }
@@ -96,7 +96,7 @@
     return suspects;
 }
 
-json marks_json(const std::vector<request_mark>& marks)
+json marks_json(const std::vector<request_fingerprint>& marks)
 {
     auto out = json::array();
     for (const auto each : marks)
@@ -106,12 +106,12 @@
     return out;
 }
 
-std::vector<request_mark> marks_of(const json& from)
+std::vector<request_fingerprint> marks_of(const json& from)
 {
-    std::vector<request_mark> marks;
+    std::vector<request_fingerprint> marks;
     for (const auto& each : from)
     {
-        marks.push_back(request_mark{each.get<std::uint32_t>()});
+        marks.push_back(request_fingerprint{each.get<std::uint32_t>()});
     }
     return marks;
 }
--- a/src/libcaraway/routing/digest.hpp
+++ b/src/libcaraway/routing/digest.hpp
@@ -3,7 +3,7 @@
 #include "libcaraway/attempts/crash_suspects.hpp"
 #include "libcaraway/base/error.hpp"
 #include "libcaraway/base/units.hpp"
-#include "libcaraway/routing/load_board.hpp"
+#include "libcaraway/routing/load_tracker.hpp"
 #include "libcaraway/routing/reading_pace.hpp"
 #include "libcaraway/routing/refused_requests.hpp"
 #include "libcaraway/routing/table_relay.hpp"
@@ -44,7 +44,7 @@
     /// Requests that upstreams crashed under.
     std::vector<attempts::suspect_entry> suspects;
     /// Requests that the sender refused just now.
-    std::vector<request_mark> refused;
+    std::vector<request_fingerprint> refused;
     /// What the sender saw of the engines' reading; empty in most digests, as it changes slowly.
     reading_records readings;
     /// Upstreams that take no new requests, as the sender knows: told with each digest, as a busy
--- a/src/libcaraway/routing/load_board.cpp
+++ b/src/libcaraway/routing/load_tracker.cpp
@@ -1,4 +1,4 @@
-#include "libcaraway/routing/load_board.hpp"
+#include "libcaraway/routing/load_tracker.hpp"
 
 #include <algorithm>
 
@@ -19,7 +19,7 @@
 upstream_load& upstream_load::operator+=(const upstream_load& other)
 {
     running += other.running;
-    unread_tokens += other.unread_tokens;
+    pending_prefill_tokens += other.pending_prefill_tokens;
     held_tokens += other.held_tokens;
     return *this;
 }
@@ -27,27 +27,27 @@
 upstream_load& upstream_load::operator-=(const upstream_load& other)
 {
     subtract(running, other.running);
-    subtract(unread_tokens, other.unread_tokens);
+    subtract(pending_prefill_tokens, other.pending_prefill_tokens);
     subtract(held_tokens, other.held_tokens);
     return *this;
 }
 
-load_board::load_board(load_options options) : options_(options) {}
+load_tracker::load_tracker(load_options options) : options_(options) {}
 
-void load_board::begin(const base::upstream_id& id, const upstream_load& of)
+void load_tracker::record_start(const base::upstream_id& id, const upstream_load& of)
 {
     loads_[id].own += of;
 }
 
-void load_board::prompt_read(const base::upstream_id& id, std::uint64_t unread_tokens)
+void load_tracker::record_prefill_done(const base::upstream_id& id, std::uint64_t unread_tokens)
 {
     if (const auto known = loads_.find(id); known != loads_.end())
     {
-        known->second.own -= upstream_load{.unread_tokens = unread_tokens};
+        known->second.own -= upstream_load{.pending_prefill_tokens = unread_tokens};
     }
 }
 
-void load_board::end(const base::upstream_id& id, const upstream_load& of)
+void load_tracker::record_end(const base::upstream_id& id, const upstream_load& of)
 {
     auto& mine = loads_[id].own;
     mine -= of;
@@ -58,7 +58,7 @@
     }
 }
 
-void load_board::set_peer(const base::node_id& peer, upstream_loads loads, base::time_point now)
+void load_tracker::set_peer(const base::node_id& peer, upstream_loads loads, base::time_point now)
 {
     auto& known = peers_[peer];
     for (const auto& [id, load] : loads)
@@ -73,7 +73,7 @@
     known = {.loads = std::move(loads), .heard = now};
 }
 
-void load_board::drop_old_peers(base::time_point now, std::chrono::milliseconds lifetime)
+void load_tracker::expire_peers(base::time_point now, std::chrono::milliseconds lifetime)
 {
     lifetime = std::max(lifetime, options_.peer_lifetime);
     for (auto each = peers_.begin(); each != peers_.end();)
@@ -92,7 +92,7 @@
     }
 }
 
-void load_board::forget_if_empty(const base::upstream_id& id)
+void load_tracker::forget_if_empty(const base::upstream_id& id)
 {
     const auto found = loads_.find(id);
     if (found->second.own == upstream_load{} && found->second.others == upstream_load{})
@@ -101,7 +101,7 @@
     }
 }
 
-upstream_loads load_board::own() const
+upstream_loads load_tracker::own_loads() const
 {
     upstream_loads out;
     for (const auto& [id, known] : loads_)
@@ -114,7 +114,7 @@
     return out;
 }
 
-upstream_load load_board::total(const base::upstream_id& id) const
+upstream_load load_tracker::total(const base::upstream_id& id) const
 {
     const auto known = loads_.find(id);
     if (known == loads_.end())
@@ -126,7 +126,7 @@
     return sum;
 }
 
-std::uint32_t load_board::own_running(const base::upstream_id& id) const
+std::uint32_t load_tracker::own_running(const base::upstream_id& id) const
 {
     const auto known = loads_.find(id);
     return known == loads_.end() ? 0 : known->second.own.running;
--- a/src/libcaraway/routing/load_board.hpp
+++ b/src/libcaraway/routing/load_tracker.hpp
@@ -17,7 +17,7 @@
     std::uint32_t running = 0;
     /// Prompt tokens of requests that have shown no first event, as far as no cache is believed to
     /// hold them.
-    std::uint64_t unread_tokens = 0;
+    std::uint64_t pending_prefill_tokens = 0;
     /// Prompt and expected output of all that run.
     std::uint64_t held_tokens = 0;
 
@@ -38,22 +38,22 @@
 /// What each upstream holds of the whole fleet: this router's own requests exactly, the other
 /// routers' by their latest digests. The upstreams' own reports aren't asked: they are older than
 /// the digests, and each question costs.
-class load_board
+class load_tracker
 {
 public:
-    explicit load_board(load_options options = {});
+    explicit load_tracker(load_options options = {});
 
-    void begin(const base::upstream_id& id, const upstream_load& of);
+    void record_start(const base::upstream_id& id, const upstream_load& of);
     /// Its first event came: its prompt is read.
-    void prompt_read(const base::upstream_id& id, std::uint64_t unread_tokens);
-    void end(const base::upstream_id& id, const upstream_load& of);
+    void record_prefill_done(const base::upstream_id& id, std::uint64_t unread_tokens);
+    void record_end(const base::upstream_id& id, const upstream_load& of);
 
     void set_peer(const base::node_id& peer, upstream_loads loads, base::time_point now);
     /// `lifetime` if digests come so rarely that the usual one would drop living peers.
-    void drop_old_peers(base::time_point now, std::chrono::milliseconds lifetime = {});
+    void expire_peers(base::time_point now, std::chrono::milliseconds lifetime = {});
 
     /// This router's, for its digest.
-    upstream_loads own() const;
+    upstream_loads own_loads() const;
     upstream_load total(const base::upstream_id& id) const;
     std::uint32_t own_running(const base::upstream_id& id) const;
 
--- a/src/libcaraway/routing/overload_guard.cpp
+++ b/src/libcaraway/routing/overload_guard.cpp
@@ -31,13 +31,13 @@
 
 }  // namespace
 
-void stepped_limit::lower(std::size_t taken, double decrease, std::size_t least)
+void adaptive_limit::lower(std::size_t taken, double decrease, std::size_t least)
 {
     value_ = std::max(least, std::min(value_, part_of(taken, decrease)));
     calm_in_a_row_ = 0;
 }
 
-void stepped_limit::raise(std::size_t taken, double growth)
+void adaptive_limit::raise(std::size_t taken, double growth)
 {
     if (!is_set())
     {
@@ -57,12 +57,12 @@
 
 overload_guard::overload_guard(overload_options options) : options_(options) {}
 
-bool overload_guard::take_connection(std::size_t under_way)
+bool overload_guard::record_connection(std::size_t under_way)
 {
     ++taken_;
     const auto room = streams_.value() - std::min(streams_.value(), under_way);
     const auto most = std::min(connections_.value(), room);
-    return taken_ < std::max(options_.least_connections, most);
+    return taken_ < std::max(options_.min_connections, most);
 }
 
 bool overload_guard::admits(const stream_effort& of, std::size_t under_way, double draw)
@@ -73,18 +73,18 @@
     {
         return true;
     }
-    const bool poor = yield < options_.poor * usual_yield_;
-    return under_way < limit() && (!poor || draw < options_.poor_chance);
+    const bool poor = yield < options_.low_yield * usual_yield_;
+    return under_way < limit() && (!poor || draw < options_.low_yield_chance);
 }
 
-void overload_guard::note_tick(std::chrono::milliseconds late, std::size_t under_way)
+void overload_guard::record_tick(std::chrono::milliseconds late, std::size_t under_way)
 {
     const auto taken = std::exchange(taken_, 0);
-    if (late >= options_.stood_still)
+    if (late >= options_.suspended_after)
     {
         return;
     }
-    if (late <= options_.target)
+    if (late <= options_.target_delay)
     {
         late_in_a_row_ = 0;
         connections_.raise(taken, options_.growth);
@@ -95,12 +95,12 @@
     {
         return;
     }
-    if (taken > options_.least_connections)
+    if (taken > options_.min_connections)
     {
-        connections_.lower(taken, options_.decrease_connections, options_.least_connections);
+        connections_.lower(taken, options_.decrease_connections, options_.min_connections);
         return;
     }
-    streams_.lower(under_way, options_.decrease, options_.least);
+    streams_.lower(under_way, options_.decrease, options_.min_streams);
 }
 
 }  // namespace caraway::routing
--- a/src/libcaraway/routing/overload_guard.hpp
+++ b/src/libcaraway/routing/overload_guard.hpp
@@ -13,26 +13,26 @@
     /// How late a timer may be. A stream passes some six turns of the event loop before its first
     /// event is with its caller, and 300 ms are on time: with turns of 20 ms a third is left to
     /// the upstream. On VMs that keep up, timers are 2 to 4 ms late.
-    std::chrono::milliseconds target{20};
+    std::chrono::milliseconds target_delay{20};
     /// Ticks in a row that must be late: a configuration of hundreds of routes takes one, and is
     /// no overload.
     int late_ticks = 3;
     /// A tick so late is a VM that stood still, not one that has too much to do.
-    std::chrono::milliseconds stood_still{700};
+    std::chrono::milliseconds suspended_after{700};
     /// At each late tick the limit becomes this part of what is under way; at each that isn't it
     /// grows by `growth`.
     double decrease = 0.85;
     double growth = 0.05;
-    std::size_t least = 16;
+    std::size_t min_streams = 16;
     /// The same for new connections of callers in a tick: 40 a second on ticks of 100 ms, so that
     /// callers of all workspaces, and checks, still come in.
     double decrease_connections = 0.7;
-    std::size_t least_connections = 4;
+    std::size_t min_connections = 4;
     /// A request that brings less than this part of the usual tokens for each event ...
-    double poor = 0.5;
+    double low_yield = 0.5;
     /// ... is let in this often while the router is busy. With the processor as what is short, a
     /// workspace so gets more of its tokens through; none of its kinds of request starves.
-    double poor_chance = 0.35;
+    double low_yield_chance = 0.35;
 };
 
 /// What a stream is for, and what it costs a router to pass it on.
@@ -53,7 +53,7 @@
 
 /// How many of something may be: lowered to a part of what there was at each tick that is late,
 /// raised while it is reached and none is, gone after some seconds of neither.
-class stepped_limit
+class adaptive_limit
 {
 public:
     static constexpr std::size_t unlimited = std::numeric_limits<std::size_t>::max();
@@ -86,14 +86,14 @@
     explicit overload_guard(overload_options options = {});
 
     /// A regular timer fired so late, with so many streams under way.
-    void note_tick(std::chrono::milliseconds late, std::size_t under_way);
+    void record_tick(std::chrono::milliseconds late, std::size_t under_way);
     /// Counts a caller's new connection, with so many streams under way; whether the tick may take
     /// another.
-    bool take_connection(std::size_t under_way);
+    bool record_connection(std::size_t under_way);
     /// Whether one more may be taken, with so many under way; `draw` is uniform in [0, 1).
     bool admits(const stream_effort& of, std::size_t under_way, double draw);
     /// The processor is at its limit.
-    bool busy() const
+    bool overloaded() const
     {
         return streams_.is_set() || connections_.is_set();
     }
@@ -104,9 +104,9 @@
 
 private:
     overload_options options_;
-    stepped_limit streams_;
+    adaptive_limit streams_;
     /// New connections of callers in a tick, and those that this one took.
-    stepped_limit connections_;
+    adaptive_limit connections_;
     std::size_t taken_ = 0;
     int late_in_a_row_ = 0;
     /// Moving mean of what is asked.
--- a/src/libcaraway/routing/placer.cpp
+++ b/src/libcaraway/routing/placer.cpp
@@ -113,8 +113,8 @@
     {
         return {};
     }
-    return std::chrono::milliseconds(
-        static_cast<std::int64_t>(static_cast<double>(total.unread_tokens) * ms_per_token));
+    return std::chrono::milliseconds(static_cast<std::int64_t>(
+        static_cast<double>(total.pending_prefill_tokens) * ms_per_token));
 }
 
 }  // namespace
@@ -123,7 +123,7 @@
 
 std::optional<placement> placer::choose(const placement_request& request,
                                         const upstream_directory& directory,
-                                        const load_board& board,
+                                        const load_tracker& board,
                                         const scheduling::upstream_health& health,
                                         const reading_pace& pace, base::time_point now)
 {
@@ -328,10 +328,10 @@
     }
     return {.where = *of.where,
             .load = {.running = 1,
-                     .unread_tokens = unread_tokens(request, of.cached),
+                     .pending_prefill_tokens = unread_tokens(request, of.cached),
                      .held_tokens = needed_tokens(request)},
             .wait = of.wait,
-            .ahead = of.total.unread_tokens,
+            .ahead = of.total.pending_prefill_tokens,
             .running = of.total.running};
 }
 
--- a/src/libcaraway/routing/placer.hpp
+++ b/src/libcaraway/routing/placer.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "libcaraway/routing/configuration.hpp"
-#include "libcaraway/routing/load_board.hpp"
+#include "libcaraway/routing/load_tracker.hpp"
 #include "libcaraway/routing/reading_pace.hpp"
 #include "libcaraway/routing/slow_start.hpp"
 #include "libcaraway/routing/upstream_directory.hpp"
@@ -121,7 +121,7 @@
     explicit placer(placement_options options);
 
     std::optional<placement> choose(const placement_request& request,
-                                    const upstream_directory& directory, const load_board& board,
+                                    const upstream_directory& directory, const load_tracker& board,
                                     const scheduling::upstream_health& health,
                                     const reading_pace& pace, base::time_point now);
     /// The request went there: its shared parts will be in that cache.
@@ -164,7 +164,7 @@
     {
         const placement_request& request;
         const std::vector<const upstream*>& candidates;
-        const load_board& board;
+        const load_tracker& board;
         const scheduling::upstream_health& health;
         const reading_pace& pace;
         base::time_point now;
--- a/src/libcaraway/routing/refused_requests.cpp
+++ b/src/libcaraway/routing/refused_requests.cpp
@@ -7,25 +7,25 @@
 
 refused_requests::refused_requests(refused_options options) : options_(options) {}
 
-void refused_requests::add(request_mark request, base::time_point now)
+void refused_requests::add(request_fingerprint request, base::time_point now)
 {
     expire(now);
     remember({.request = request, .when = now, .own = true});
 }
 
-bool refused_requests::knows(request_mark request, base::time_point now) const
+bool refused_requests::contains(request_fingerprint request, base::time_point now) const
 {
     const auto found = known_.find(request);
     return found != known_.end() && found->second + options_.lifetime > now;
 }
 
-std::vector<request_mark> refused_requests::told(std::chrono::milliseconds span,
-                                                 base::time_point now) const
+std::vector<request_fingerprint> refused_requests::recent_own(std::chrono::milliseconds span,
+                                                              base::time_point now) const
 {
-    std::vector<request_mark> out;
+    std::vector<request_fingerprint> out;
     for (auto each = order_.rbegin(); each != order_.rend() && each->when + span > now; ++each)
     {
-        if (each->own && out.size() < options_.told)
+        if (each->own && out.size() < options_.max_digest_entries)
         {
             out.push_back(each->request);
         }
@@ -33,7 +33,7 @@
     return out;
 }
 
-void refused_requests::merge(const std::vector<request_mark>& others, base::time_point now)
+void refused_requests::merge(const std::vector<request_fingerprint>& others, base::time_point now)
 {
     expire(now);
     for (const auto each : others)
--- a/src/libcaraway/routing/refused_requests.hpp
+++ b/src/libcaraway/routing/refused_requests.hpp
@@ -12,7 +12,7 @@
 
 /// By which a request is known again when its caller sends it once more, at whichever router. Two
 /// of some thousand requests look alike once in a million; then one is taken for returned.
-enum class request_mark : std::uint32_t
+enum class request_fingerprint : std::uint32_t
 {
 };
 
@@ -22,7 +22,7 @@
     /// deadline on the deployments' sheets (15 s), and a little for the way.
     std::chrono::milliseconds lifetime{6000};
     /// Entries in one digest, 5 bytes each; the newest are told.
-    std::size_t told = 96;
+    std::size_t max_digest_entries = 96;
 };
 
 /// Requests that were refused lately, here or at a peer, so that one that comes back is known. Time
@@ -35,13 +35,14 @@
     explicit refused_requests(refused_options options = {});
 
     /// Refused by this router.
-    void add(request_mark request, base::time_point now);
+    void add(request_fingerprint request, base::time_point now);
     /// Whether it was refused before, at a router that told of it.
-    bool knows(request_mark request, base::time_point now) const;
+    bool contains(request_fingerprint request, base::time_point now) const;
 
     /// What this router refused in the last `span`, newest first, for its digest.
-    std::vector<request_mark> told(std::chrono::milliseconds span, base::time_point now) const;
-    void merge(const std::vector<request_mark>& others, base::time_point now);
+    std::vector<request_fingerprint> recent_own(std::chrono::milliseconds span,
+                                                base::time_point now) const;
+    void merge(const std::vector<request_fingerprint>& others, base::time_point now);
 
     std::size_t size() const
     {
@@ -51,7 +52,7 @@
 private:
     struct entry
     {
-        request_mark request;
+        request_fingerprint request;
         base::time_point when;
         bool own = false;
     };
@@ -60,7 +61,7 @@
     void expire(base::time_point now);
 
     refused_options options_;
-    std::unordered_map<request_mark, base::time_point> known_;
+    std::unordered_map<request_fingerprint, base::time_point> known_;
     /// In the order in which they lapse.
     std::deque<entry> order_;
 };
--- a/src/libcaraway/routing/waiting_line.cpp
+++ b/src/libcaraway/routing/wait_queue.cpp
@@ -1,4 +1,4 @@
-#include "libcaraway/routing/waiting_line.hpp"
+#include "libcaraway/routing/wait_queue.hpp"
 
 #include <algorithm>
 #include <tuple>
@@ -6,22 +6,22 @@
 namespace caraway::routing
 {
 
-ticket waiting_line::add(const waiting_request& request)
+wait_id wait_queue::add(const waiting_request& request)
 {
-    const ticket id{++last_};
+    const wait_id id{++last_};
     waiting_.emplace(id, request);
     return id;
 }
 
-void waiting_line::remove(ticket id)
+void wait_queue::remove(wait_id id)
 {
     waiting_.erase(id);
 }
 
-std::vector<ticket> waiting_line::order(const fill_of& fill) const
+std::vector<wait_id> wait_queue::order(const share_used_lookup& fill) const
 {
     std::map<base::workspace_id, double> fills;
-    using key = std::tuple<double, bool, std::int32_t, base::time_point, ticket>;
+    using key = std::tuple<double, bool, std::int32_t, base::time_point, wait_id>;
     std::vector<key> keys;
     for (const auto& [id, each] : waiting_)
     {
@@ -30,24 +30,24 @@
         {
             place->second = fill(each.workspace);
         }
-        keys.emplace_back(place->second, each.returned, each.priority, each.arrived, id);
+        keys.emplace_back(place->second, each.resubmitted, each.priority, each.arrived, id);
     }
     std::sort(keys.begin(), keys.end());
-    std::vector<ticket> out;
+    std::vector<wait_id> out;
     out.reserve(keys.size());
     for (const auto& each : keys)
     {
-        out.push_back(std::get<ticket>(each));
+        out.push_back(std::get<wait_id>(each));
     }
     return out;
 }
 
-std::vector<ticket> waiting_line::take_expired(base::time_point now)
+std::vector<wait_id> wait_queue::take_expired(base::time_point now)
 {
-    std::vector<ticket> expired;
+    std::vector<wait_id> expired;
     for (auto each = waiting_.begin(); each != waiting_.end();)
     {
-        if (each->second.until > now)
+        if (each->second.expires > now)
         {
             ++each;
             continue;
--- a/src/libcaraway/routing/waiting_line.hpp
+++ b/src/libcaraway/routing/wait_queue.hpp
@@ -18,15 +18,15 @@
     base::workspace_id workspace;
     base::service_id service;
     /// Came back after a refusal.
-    bool returned = false;
+    bool resubmitted = false;
     /// 0 is the most urgent.
     std::int32_t priority = 0;
     base::time_point arrived{};
     /// When it is given up.
-    base::time_point until{};
+    base::time_point expires{};
 };
 
-enum class ticket : std::uint64_t
+enum class wait_id : std::uint64_t
 {
 };
 
@@ -34,19 +34,19 @@
 /// is due, then fresh ones before returned ones, then by urgency, then by arrival: so a flooding
 /// workspace's requests wait behind everyone else's, and within a workspace nothing is overtaken by
 /// what is no more urgent.
-class waiting_line
+class wait_queue
 {
 public:
-    /// How full a workspace's share is; see workspace_shares::fill.
-    using fill_of = std::function<double(const base::workspace_id&)>;
+    /// How full a workspace's share is; see workspace_shares::share_used.
+    using share_used_lookup = std::function<double(const base::workspace_id&)>;
 
-    ticket add(const waiting_request& request);
-    void remove(ticket id);
+    wait_id add(const waiting_request& request);
+    void remove(wait_id id);
 
     /// All that wait, in the order in which they should get places.
-    std::vector<ticket> order(const fill_of& fill) const;
+    std::vector<wait_id> order(const share_used_lookup& fill) const;
     /// Takes out those whose time is over.
-    std::vector<ticket> take_expired(base::time_point now);
+    std::vector<wait_id> take_expired(base::time_point now);
 
     std::size_t size() const
     {
@@ -54,7 +54,7 @@
     }
 
 private:
-    std::map<ticket, waiting_request> waiting_;
+    std::map<wait_id, waiting_request> waiting_;
     std::uint64_t last_ = 0;
 };
 
--- a/src/libcaraway/routing/workspace_shares.cpp
+++ b/src/libcaraway/routing/workspace_shares.cpp
@@ -48,21 +48,22 @@
     own_.clear();
 }
 
-void workspace_shares::count_asked(const base::workspace_id& id, double tokens,
-                                   base::time_point now)
+void workspace_shares::record_demand(const base::workspace_id& id, double tokens,
+                                     base::time_point now)
 {
-    current(id, now).asked += tokens;
-    total_[id].asked += tokens;
+    current(id, now).demanded += tokens;
+    total_[id].demanded += tokens;
 }
 
-void workspace_shares::count_served(const base::workspace_id& id, double tokens,
-                                    base::time_point now)
+void workspace_shares::record_served(const base::workspace_id& id, double tokens,
+                                     base::time_point now)
 {
     current(id, now).served += tokens;
     total_[id].served += tokens;
 }
 
-void workspace_shares::count_lost(const base::workspace_id& id, double tokens, base::time_point now)
+void workspace_shares::retract_served(const base::workspace_id& id, double tokens,
+                                      base::time_point now)
 {
     // Its service may stand in an earlier part of the window, so a part may be below zero; the
     // sum isn't for long, as both leave the window.
@@ -77,13 +78,13 @@
     peers_[peer] = {.usages = std::move(usages), .heard = now};
 }
 
-workspace_usages workspace_shares::own(base::time_point now)
+workspace_usages workspace_shares::own_usages(base::time_point now)
 {
     workspace_usages out;
     for (auto each = own_.begin(); each != own_.end();)
     {
         const auto usage = sum(each->second, now);
-        if (usage.asked == 0 && usage.served == 0)
+        if (usage.demanded == 0 && usage.served == 0)
         {
             each = own_.erase(each);
             continue;
@@ -94,22 +95,22 @@
     return out;
 }
 
-double workspace_shares::fill(const base::workspace_id& id, base::time_point now)
+double workspace_shares::share_used(const base::workspace_id& id, base::time_point now)
 {
     if (capacity_ <= 0)
     {
         return 0;
     }
-    if (now >= allocated_ + options_.refresh)
+    if (now >= allocated_ + options_.refresh_interval)
     {
         allocate(now);
     }
     return total_[id].served / even_share_;
 }
 
-double workspace_shares::ahead(const base::workspace_id& id, base::time_point now)
+double workspace_shares::excess_ratio(const base::workspace_id& id, base::time_point now)
 {
-    return of(id, false, now).ahead;
+    return status(id, false, now).excess_ratio;
 }
 
 double workspace_shares::ahead_of_others(const base::workspace_id& id) const
@@ -118,35 +119,39 @@
     {
         return 0;
     }
-    return std::isinf(least_flooding_) ? 1 : total_.at(id).served / least_flooding_;
+    return std::isinf(min_backlogged_served_) ? 1 : total_.at(id).served / min_backlogged_served_;
 }
 
-standing workspace_shares::of(const base::workspace_id& id, bool returned, base::time_point now)
+share_status workspace_shares::status(const base::workspace_id& id, bool returned,
+                                      base::time_point now)
 {
     if (capacity_ <= 0)
     {
         return {};
     }
-    const double had = fill(id, now);
-    const double wanted = total_[id].asked / even_share_;
+    const double had = share_used(id, now);
+    const double wanted = total_[id].demanded / even_share_;
     const double counted = returned ? std::max(had, wanted) : had;
-    return {.fill = counted, .ahead = counted < 1 ? 0 : ahead_of_others(id), .returned = returned};
+    return {.share_used = counted,
+            .excess_ratio = counted < 1 ? 0 : ahead_of_others(id),
+            .resubmitted = returned};
 }
 
-std::vector<workspace_view> workspace_shares::most_asked(std::size_t count, base::time_point now)
+std::vector<workspace_view> workspace_shares::highest_demand(std::size_t count,
+                                                             base::time_point now)
 {
     std::vector<workspace_view> views;
-    for (const auto& [id, usage] : own(now))
+    for (const auto& [id, usage] : own_usages(now))
     {
         views.push_back({.id = id, .own = usage});
     }
     std::sort(views.begin(), views.end(),
-              [](const auto& a, const auto& b) { return a.own.asked > b.own.asked; });
+              [](const auto& a, const auto& b) { return a.own.demanded > b.own.demanded; });
     views.resize(std::min(count, views.size()));
     for (auto& each : views)
     {
-        each.stands = of(each.id, false, now);
-        each.all = total_[each.id];
+        each.status = status(each.id, false, now);
+        each.fleet_total = total_[each.id];
     }
     return views;
 }
@@ -154,8 +159,9 @@
 share_basis workspace_shares::basis(base::time_point now)
 {
     using std::chrono::milliseconds;
-    share_basis out{
-        .even_share = even_share_, .backlogged = backlogged_, .least_flooding = least_flooding_};
+    share_basis out{.even_share = even_share_,
+                    .backlogged = backlogged_,
+                    .min_backlogged_served = min_backlogged_served_};
     base::duration sum{};
     for (const auto& [peer, known] : peers_)
     {
@@ -191,7 +197,7 @@
     workspace_usage all;
     for (const auto& part : of.part)
     {
-        all.asked += part.asked;
+        all.demanded += part.demanded;
         all.served += part.served;
     }
     all.served = std::max(0.0, all.served);
@@ -211,14 +217,14 @@
 void workspace_shares::allocate(base::time_point now)
 {
     allocated_ = now;
-    total_ = own(now);
+    total_ = own_usages(now);
     std::erase_if(peers_, [&](const auto& each)
                   { return each.second.heard + options_.peer_lifetime <= now; });
     for (const auto& [peer, known] : peers_)
     {
         for (const auto& [id, usage] : known.usages)
         {
-            total_[id].asked += usage.asked;
+            total_[id].demanded += usage.demanded;
             total_[id].served += usage.served;
         }
     }
@@ -226,24 +232,24 @@
     backlogged_ = false;
     for (const auto& [id, usage] : total_)
     {
-        demands.push_back(usage.asked);
+        demands.push_back(usage.demanded);
         backlogged_ = backlogged_ || waits(usage);
     }
     const double seconds = std::chrono::duration<double>(options_.window).count();
     even_share_ = max_min_level(std::move(demands), capacity_ * seconds);
-    least_flooding_ = std::numeric_limits<double>::infinity();
+    min_backlogged_served_ = std::numeric_limits<double>::infinity();
     for (const auto& [id, usage] : total_)
     {
-        if (waits(usage) && usage.asked > even_share_)
+        if (waits(usage) && usage.demanded > even_share_)
         {
-            least_flooding_ = std::min(least_flooding_, std::max(usage.served, 1.0));
+            min_backlogged_served_ = std::min(min_backlogged_served_, std::max(usage.served, 1.0));
         }
     }
 }
 
 bool workspace_shares::waits(const workspace_usage& usage) const
 {
-    return usage.served < options_.backlogged_below * usage.asked;
+    return usage.served < options_.backlogged_below * usage.demanded;
 }
 
 }  // namespace caraway::routing
--- a/src/libcaraway/routing/workspace_shares.hpp
+++ b/src/libcaraway/routing/workspace_shares.hpp
@@ -14,18 +14,18 @@
 /// Tokens of one workspace over the window.
 struct workspace_usage
 {
-    double asked = 0;
+    double demanded = 0;
     double served = 0;
 };
 
-/// What a workspace has had: of its share, 1 being all (workspace_shares::fill), and against others
-/// that wait (workspace_shares::ahead).
-struct standing
+/// What a workspace has had: of its share, 1 being all (workspace_shares::share_used), and against
+/// others that wait (workspace_shares::excess_ratio).
+struct share_status
 {
-    double fill = 0;
-    double ahead = 0;
+    double share_used = 0;
+    double excess_ratio = 0;
     /// Came back after a refusal: late before it begins.
-    bool returned = false;
+    bool resubmitted = false;
 };
 
 using workspace_usages = std::map<base::workspace_id, workspace_usage>;
@@ -35,8 +35,8 @@
 {
     base::workspace_id id;
     workspace_usage own;
-    workspace_usage all;
-    standing stands;
+    workspace_usage fleet_total;
+    share_status status;
 };
 
 /// What shares are decided on, for the log.
@@ -47,7 +47,7 @@
     /// Some workspace gets less than it asks.
     bool backlogged = false;
     /// The least that one has had that asks for more than its share; infinite if none waits.
-    double least_flooding = 0;
+    double min_backlogged_served = 0;
     /// How long ago the other routers' counts were heard.
     std::chrono::milliseconds mean_age{};
     std::chrono::milliseconds oldest_age{};
@@ -60,7 +60,7 @@
     /// How long a silent router's counts are believed.
     std::chrono::milliseconds peer_lifetime{4000};
     /// How old an allocation may be; it is a sort over the workspaces.
-    std::chrono::milliseconds refresh{100};
+    std::chrono::milliseconds refresh_interval{100};
     /// A workspace is backlogged that gets less than this part of what it asks.
     double backlogged_below = 0.92;
 };
@@ -78,29 +78,29 @@
     void set_window(std::chrono::milliseconds window);
 
     /// A request came: `tokens` in the unit of the capacity.
-    void count_asked(const base::workspace_id& id, double tokens, base::time_point now);
+    void record_demand(const base::workspace_id& id, double tokens, base::time_point now);
     /// One was sent to an engine.
-    void count_served(const base::workspace_id& id, double tokens, base::time_point now);
+    void record_served(const base::workspace_id& id, double tokens, base::time_point now);
     /// Takes back what was counted as served: the upstream didn't run it, or was lost with it.
-    void count_lost(const base::workspace_id& id, double tokens, base::time_point now);
+    void retract_served(const base::workspace_id& id, double tokens, base::time_point now);
 
     void set_peer(const base::node_id& peer, workspace_usages usages, base::time_point now);
     /// This router's counts, for its digest.
-    workspace_usages own(base::time_point now);
+    workspace_usages own_usages(base::time_point now);
 
     /// What the workspace has had of what it is due in the window: 1 is all of it.
-    double fill(const base::workspace_id& id, base::time_point now);
+    double share_used(const base::workspace_id& id, base::time_point now);
     /// Beyond its share, what it has had against the least that any has had that asks for more than
     /// its share and waits: they divide what is left over evenly. 1 while only workspaces wait that
     /// ask for less: these go first by their own terms, and say nothing of the order of the others.
     /// 0 while nobody waits.
-    double ahead(const base::workspace_id& id, base::time_point now);
+    double excess_ratio(const base::workspace_id& id, base::time_point now);
     /// All of it. A request that `returned` after a refusal stands behind the fresh ones: it is
     /// beyond the share already if these ask for all of it.
-    standing of(const base::workspace_id& id, bool returned, base::time_point now);
+    share_status status(const base::workspace_id& id, bool returned, base::time_point now);
 
     /// Those that asked most at this router, at most `count`.
-    std::vector<workspace_view> most_asked(std::size_t count, base::time_point now);
+    std::vector<workspace_view> highest_demand(std::size_t count, base::time_point now);
     share_basis basis(base::time_point now);
 
 private:
@@ -137,7 +137,7 @@
     /// Some workspace gets less than it asks.
     bool backlogged_ = false;
     /// The least that one has had that asks for more than an even share; infinite if none waits.
-    double least_flooding_ = std::numeric_limits<double>::infinity();
+    double min_backlogged_served_ = std::numeric_limits<double>::infinity();
     base::time_point allocated_{};
 };
 
--- a/tests/routing/test_overload_guard.cpp
+++ b/tests/routing/test_overload_guard.cpp
@@ -31,7 +31,7 @@
         }
         const auto beyond = under_way > carries ? under_way - carries : 0;
         most_late_ms = std::max(most_late_ms, beyond);
-        guard.note_tick(std::chrono::milliseconds(3 + beyond), under_way);
+        guard.record_tick(std::chrono::milliseconds(3 + beyond), under_way);
     }
 };
 
@@ -58,7 +58,7 @@
         bool refuses = false;
         for (std::size_t count = 0; count < connections && !refuses; ++count)
         {
-            refuses = !guard.take_connection(under_way);
+            refuses = !guard.record_connection(under_way);
             ++taken;
             under_way += places && guard.admits(ordinary, under_way, 0.5) ? 1 : 0;
         }
@@ -67,7 +67,7 @@
         behind_ms = std::max(0.0, behind_ms + work - processor_ms);
         // The guard leaves out what is later than a VM that stood still.
         const auto late = std::min(600.0, behind_ms / 0.12);
-        guard.note_tick(std::chrono::milliseconds(3 + static_cast<int>(late)), under_way);
+        guard.record_tick(std::chrono::milliseconds(3 + static_cast<int>(late)), under_way);
     }
 
     double mean_under_way(std::size_t connections, int ticks)
@@ -160,7 +160,7 @@
         least = std::min(least, vm.under_way);
     }
 
-    BOOST_TEST(vm.guard.busy());
+    BOOST_TEST(vm.guard.overloaded());
     BOOST_TEST(vm.most_late_ms <= 50);
     BOOST_TEST(least >= 75);
 }
@@ -173,17 +173,17 @@
         vm.tick(40);
     }
 
-    BOOST_TEST(!vm.guard.busy());
+    BOOST_TEST(!vm.guard.overloaded());
 }
 
 // Symptom: callers were refused after a VM had been suspended, or a large configuration had come.
 BOOST_AUTO_TEST_CASE(one_late_tick_or_a_suspension_is_no_overload)
 {
     overload_guard guard;
-    guard.note_tick(60ms, 50);
-    guard.note_tick(2ms, 50);
-    guard.note_tick(4000ms, 50);
-    guard.note_tick(60ms, 50);
+    guard.record_tick(60ms, 50);
+    guard.record_tick(2ms, 50);
+    guard.record_tick(4000ms, 50);
+    guard.record_tick(60ms, 50);
 
     BOOST_TEST(guard.admits(ordinary, 1000, 0.9));
 }
@@ -203,7 +203,7 @@
     }
     for (int tick = 0; tick < 3; ++tick)
     {
-        guard.note_tick(60ms, 100);
+        guard.record_tick(60ms, 100);
     }
 
     BOOST_TEST(guard.admits(rich, 50, 0.9));
@@ -218,13 +218,13 @@
     {
         vm.tick(40);
     }
-    BOOST_TEST(vm.guard.busy());
+    BOOST_TEST(vm.guard.overloaded());
     for (int tick = 0; tick < 100; ++tick)
     {
         vm.tick(3);
     }
 
-    BOOST_TEST(!vm.guard.busy());
+    BOOST_TEST(!vm.guard.overloaded());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/routing/test_peers.cpp
+++ b/tests/routing/test_peers.cpp
@@ -267,8 +267,8 @@
     sent.version = base::config_version{17};
     sent.store_held = 1700ms;
     sent.loads[base::upstream_id("e1")] = {
-        .running = 3, .unread_tokens = 9000, .held_tokens = 40000};
-    sent.usages[base::workspace_id("north")] = {.asked = 12000, .served = 8000};
+        .running = 3, .pending_prefill_tokens = 9000, .held_tokens = 40000};
+    sent.usages[base::workspace_id("north")] = {.demanded = 12000, .served = 8000};
 
     const auto received = decode(encode(sent));
 
--- a/tests/routing/test_placer.cpp
+++ b/tests/routing/test_placer.cpp
@@ -19,7 +19,7 @@
                     .engine = engine_capacity{.slots = 32, .kv_tokens = 600000}};
     service plain{.id = base::service_id("plain")};
     upstream_directory directory;
-    load_board board;
+    load_tracker board;
     scheduling::scheduler_options health_options;
     scheduling::upstream_health health{health_options};
     reading_pace pace;
@@ -78,7 +78,7 @@
     const auto second = other.choose(request, directory, board, health, pace, now);
 
     BOOST_TEST(first->where.id == second->where.id);
-    BOOST_TEST(first->load.unread_tokens == 6600);
+    BOOST_TEST(first->load.pending_prefill_tokens == 6600);
 }
 
 BOOST_AUTO_TEST_CASE(sessions_spread_over_the_engines)
@@ -112,7 +112,7 @@
         .of = &engines, .prompt_tokens = 11900, .parts = &parts, .longest_wait = 2000ms};
     const auto home = place(request)->where.id;
 
-    board.begin(home, {.running = 4, .unread_tokens = 60000});
+    board.record_start(home, {.running = 4, .pending_prefill_tokens = 60000});
 
     BOOST_TEST(place(request)->where.id != home);
 }
@@ -135,7 +135,7 @@
     {
         const auto where = place({.of = &engines, .prompt_tokens = 5000, .longest_wait = 10000ms});
         tokens[where->where.id] += 5000;
-        board.begin(where->where.id, {.unread_tokens = 5000});
+        board.record_start(where->where.id, {.pending_prefill_tokens = 5000});
     }
 
     BOOST_TEST(tokens[base::upstream_id("e1")] * 10 < tokens[base::upstream_id("e2")] * 8);
@@ -151,10 +151,10 @@
     const base::upstream_id other(home.str() == "e1" ? "e2" : "e1");
 
     choice.note_sent(other, parts, now);
-    board.begin(home, {.running = 1, .unread_tokens = 6000});
+    board.record_start(home, {.running = 1, .pending_prefill_tokens = 6000});
 
     BOOST_TEST(place(request)->where.id == other);
-    BOOST_TEST(place(request)->load.unread_tokens == 6600);
+    BOOST_TEST(place(request)->load.pending_prefill_tokens == 6600);
 }
 
 // Symptom: while workspaces within their shares waited, engines read the same session's parts a
@@ -171,9 +171,9 @@
     placement_request request{
         .of = &engines, .prompt_tokens = 11900, .parts = &parts, .most_repeated = 300};
     const auto home = place(request)->where.id;
-    board.begin(home, {.running = 32});
+    board.record_start(home, {.running = 32});
     const auto second = place(request)->where.id;
-    board.begin(second, {.running = 32});
+    board.record_start(second, {.running = 32});
 
     BOOST_TEST(!place(request).has_value());
     request.most_repeated = 10000;
@@ -183,7 +183,7 @@
 BOOST_AUTO_TEST_CASE(an_engine_whose_slots_are_taken_gets_nothing)
 {
     add(engines, "e1");
-    board.begin(base::upstream_id("e1"), {.running = 32});
+    board.record_start(base::upstream_id("e1"), {.running = 32});
 
     BOOST_TEST(!place({.of = &engines, .prompt_tokens = 10}).has_value());
 }
@@ -191,7 +191,7 @@
 BOOST_AUTO_TEST_CASE(work_beyond_its_share_leaves_some_slots_free)
 {
     add(engines, "e1");
-    board.begin(base::upstream_id("e1"), {.running = 16});
+    board.record_start(base::upstream_id("e1"), {.running = 16});
 
     BOOST_TEST(!place({.of = &engines, .prompt_tokens = 10, .slot_share = 0.5}).has_value());
     BOOST_TEST(place({.of = &engines, .prompt_tokens = 10}).has_value());
@@ -202,7 +202,7 @@
 BOOST_AUTO_TEST_CASE(an_engine_gets_no_more_than_its_memory_holds)
 {
     add(engines, "e1");
-    board.begin(base::upstream_id("e1"), {.running = 5, .held_tokens = 545000});
+    board.record_start(base::upstream_id("e1"), {.running = 5, .held_tokens = 545000});
 
     BOOST_TEST(!place({.of = &engines, .prompt_tokens = 8000}).has_value());
     BOOST_TEST(place({.of = &engines, .prompt_tokens = 4000}).has_value());
@@ -221,7 +221,7 @@
     add(plain, "far", "z2");
     BOOST_TEST(place({.of = &plain})->where.id.str() == "near");
 
-    board.begin(base::upstream_id("near"), {.running = 4});
+    board.record_start(base::upstream_id("near"), {.running = 4});
 
     BOOST_TEST(place({.of = &plain})->where.id.str() == "far");
 }
@@ -242,7 +242,7 @@
     const auto home = place(request)->where;
     BOOST_TEST(!place(request)->source.has_value());
 
-    board.begin(home.id, {.running = 32});
+    board.record_start(home.id, {.running = 32});
     const auto elsewhere = place(request);
     BOOST_REQUIRE(elsewhere->source.has_value());
     BOOST_TEST(elsewhere->source->id == home.id);
@@ -256,7 +256,7 @@
     placement_request request{.of = &engines, .prompt_tokens = 11900, .parts = &parts};
     add_engines(18);
     const auto home = place(request)->where;
-    board.begin(home.id, {.running = 32});
+    board.record_start(home.id, {.running = 32});
 
     slow_start cold(base::node_id("r1"));
     cold.set_terms({{engines.id, {.lasts = 3000ms, .rate = 10}}});
@@ -287,13 +287,13 @@
     const auto large = session("s1");
     add_engines(18);
     placement_request request{.of = &engines, .prompt_tokens = 11900, .parts = &large};
-    board.begin(place(request)->where.id, {.running = 32});
+    board.record_start(place(request)->where.id, {.running = 32});
     BOOST_TEST(!place(request)->source.has_value());
 
     let_engines_hand_on();
     request.parts = &small;
     request.prompt_tokens = 599;
-    board.begin(place(request)->where.id, {.running = 32});
+    board.record_start(place(request)->where.id, {.running = 32});
     BOOST_TEST(!place(request)->source.has_value());
 }
 
@@ -327,7 +327,7 @@
         add(engines, "e" + std::to_string(engine));
         if (engine != 1234)
         {
-            board.begin(base::upstream_id("e" + std::to_string(engine)), {.running = 32});
+            board.record_start(base::upstream_id("e" + std::to_string(engine)), {.running = 32});
         }
     }
     const auto parts = session("s1");
--- a/tests/routing/test_refused_requests.cpp
+++ b/tests/routing/test_refused_requests.cpp
@@ -6,7 +6,7 @@
 using namespace caraway;
 using namespace std::chrono_literals;
 using routing::refused_requests;
-using routing::request_mark;
+using routing::request_fingerprint;
 
 namespace
 {
@@ -14,7 +14,7 @@
 const base::workspace_id flooding("flooding");
 const base::workspace_id small("small");
 const base::time_point now(1h);
-constexpr request_mark request{7};
+constexpr request_fingerprint request{7};
 
 }  // namespace
 
@@ -23,12 +23,12 @@
 BOOST_AUTO_TEST_CASE(what_was_refused_is_known_for_as_long_as_callers_wait)
 {
     refused_requests refused;
-    BOOST_TEST(!refused.knows(request, now));
+    BOOST_TEST(!refused.contains(request, now));
     refused.add(request, now);
 
-    BOOST_TEST(refused.knows(request, now + 5s));
-    BOOST_TEST(!refused.knows(request, now + 6s));
-    refused.add(request_mark{8}, now + 7s);
+    BOOST_TEST(refused.contains(request, now + 5s));
+    BOOST_TEST(!refused.contains(request, now + 6s));
+    refused.add(request_fingerprint{8}, now + 7s);
     BOOST_TEST(refused.size() == 1);
 }
 
@@ -37,11 +37,11 @@
     refused_requests here;
     refused_requests there;
     here.add(request, now);
-    there.merge(here.told(200ms, now + 100ms), now + 100ms);
+    there.merge(here.recent_own(200ms, now + 100ms), now + 100ms);
 
-    BOOST_TEST(there.knows(request, now + 1s));
-    BOOST_TEST(there.told(200ms, now + 100ms).empty());
-    BOOST_TEST(here.told(200ms, now + 200ms).empty());
+    BOOST_TEST(there.contains(request, now + 1s));
+    BOOST_TEST(there.recent_own(200ms, now + 100ms).empty());
+    BOOST_TEST(here.recent_own(200ms, now + 200ms).empty());
 }
 
 // Symptom: a flooding workspace's answers were late though it got its whole share.
@@ -50,27 +50,27 @@
 // Cause: a returned request looked like a fresh one.
 BOOST_AUTO_TEST_CASE(a_returned_request_stands_behind_the_fresh_ones_that_ask_for_the_whole_share)
 {
-    routing::workspace_shares shares({.window = 4000ms, .refresh = 0ms});
+    routing::workspace_shares shares({.window = 4000ms, .refresh_interval = 0ms});
     shares.set_capacity(1000);
-    shares.count_asked(flooding, 20000, now);
-    shares.count_served(flooding, 1000, now);
-    shares.count_asked(small, 500, now);
-    shares.count_served(small, 500, now);
+    shares.record_demand(flooding, 20000, now);
+    shares.record_served(flooding, 1000, now);
+    shares.record_demand(small, 500, now);
+    shares.record_served(small, 500, now);
 
-    BOOST_TEST(shares.of(flooding, false, now).fill < 1);
-    BOOST_TEST(shares.of(flooding, true, now).fill >= 1);
-    BOOST_TEST(shares.of(flooding, true, now).ahead > 0);
+    BOOST_TEST(shares.status(flooding, false, now).share_used < 1);
+    BOOST_TEST(shares.status(flooding, true, now).share_used >= 1);
+    BOOST_TEST(shares.status(flooding, true, now).excess_ratio > 0);
 }
 
 BOOST_AUTO_TEST_CASE(a_workspace_that_asks_less_than_its_share_may_return)
 {
-    routing::workspace_shares shares({.window = 4000ms, .refresh = 0ms});
+    routing::workspace_shares shares({.window = 4000ms, .refresh_interval = 0ms});
     shares.set_capacity(1000);
-    shares.count_asked(flooding, 20000, now);
-    shares.count_asked(small, 500, now);
+    shares.record_demand(flooding, 20000, now);
+    shares.record_demand(small, 500, now);
 
-    BOOST_TEST(shares.of(small, true, now).fill < 1);
-    BOOST_TEST(shares.of(small, true, now).ahead == 0);
+    BOOST_TEST(shares.status(small, true, now).share_used < 1);
+    BOOST_TEST(shares.status(small, true, now).excess_ratio == 0);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
