--- a/src/libcaraway/routing/admission.cpp
+++ b/src/libcaraway/routing/admission.cpp
@@ -8,54 +8,57 @@
 namespace
 {
 
-milliseconds part_of(milliseconds whole, double part)
+milliseconds scaled(milliseconds duration, double factor)
 {
-    return milliseconds(static_cast<std::int64_t>(static_cast<double>(whole.count()) * part));
+    return milliseconds(static_cast<std::int64_t>(static_cast<double>(duration.count()) * factor));
 }
 
-/// No sooner than a round trip and a step of an engine.
-constexpr milliseconds soonest{50};
-/// The window of shares (4 s) moves on by a quarter.
-constexpr milliseconds beyond_share{1000};
+/// At least one round trip and one decoding step of an engine.
+constexpr milliseconds min_retry_delay{50};
+/// A quarter of the window of the shares (4 s).
+constexpr milliseconds retry_delay_beyond_share{1000};
 
 }  // namespace
 
-admission_terms admit(const route& by, const share_status& of, const admission_options& options)
+admission_terms admit(const route& request_route, const share_status& status,
+                      const admission_options& options)
 {
-    const auto target = by.latency_target;
-    if (of.share_used < 1)
+    const auto target = request_route.latency_target;
+    if (status.share_used < 1)
     {
-        return {.longest_wait = part_of(target, options.engine_wait),
+        return {.longest_wait = scaled(target, options.engine_wait),
                 .slot_share = 1,
-                .max_queue_time = part_of(target, options.queue_time)};
+                .max_queue_time = scaled(target, options.queue_time)};
     }
-    if (of.excess_ratio >= options.max_excess_ratio)
+    if (status.excess_ratio >= options.max_excess_ratio)
     {
         return {.slot_share = 0,
-                .max_queue_time = part_of(target, options.queue_time_beyond),
+                .max_queue_time = scaled(target, options.queue_time_beyond),
                 .blocked = true};
     }
-    // Capacity that nobody within its share wants is for whoever asks; of two that are beyond
-    // theirs the one that has had less finds more places, so that they come out alike.
-    const auto hold = part_of(target, options.queue_time_beyond);
-    if (of.excess_ratio <= 0)
+    // Capacity not needed by workspaces within their share is open to any workspace. Of two
+    // workspaces beyond their share, the one that was served less may use more slots, so that
+    // their service converges.
+    const auto queue_time = scaled(target, options.queue_time_beyond);
+    if (status.excess_ratio <= 0)
     {
-        return {.longest_wait = part_of(target, options.engine_wait_beyond),
+        return {.longest_wait = scaled(target, options.engine_wait_beyond),
                 .slot_share = options.slot_share_beyond,
-                .max_queue_time = hold};
+                .max_queue_time = queue_time};
     }
-    const double order = 1 / (1 + options.excess_slope * std::max(0.0, of.excess_ratio - 1));
-    const double part = of.resubmitted ? 0 : order;
-    return {.longest_wait = part_of(target, options.engine_wait_contended * part),
-            .slot_share = options.slot_share_contended * part,
+    const double falloff = 1 / (1 + options.excess_slope * std::max(0.0, status.excess_ratio - 1));
+    const double reduction = status.resubmitted ? 0 : falloff;
+    return {.longest_wait = scaled(target, options.engine_wait_contended * reduction),
+            .slot_share = options.slot_share_contended * reduction,
             .max_repeated_tokens = options.repeated_tokens_contended,
-            .max_queue_time = hold};
+            .max_queue_time = queue_time};
 }
 
-milliseconds retry_after(const route& by, double share_used, double draw)
+milliseconds retry_after(const route& request_route, double share_used, double random_unit)
 {
-    const auto base = share_used < 1 ? part_of(by.latency_target, 0.3) : beyond_share;
-    return std::max(soonest, part_of(base, 0.7 + 0.6 * draw));
+    const auto mean_delay =
+        share_used < 1 ? scaled(request_route.latency_target, 0.3) : retry_delay_beyond_share;
+    return std::max(min_retry_delay, scaled(mean_delay, 0.7 + 0.6 * random_unit));
 }
 
 }  // namespace caraway::routing
--- a/src/libcaraway/routing/admission.hpp
+++ b/src/libcaraway/routing/admission.hpp
@@ -8,55 +8,64 @@
 namespace caraway::routing
 {
 
+/// Limits for placing a request. Waiting times are fractions of the route's latency target.
 struct admission_options
 {
-    /// Of the time in which an answer is on time, the part that a request within its workspace's
-    /// share may wait behind other prompts at an engine.
+    /// Longest wait behind other prompts at an engine for a request within its workspace's share.
     double engine_wait = 0.6;
-    /// And the part that it may wait at the router for a place.
+    /// Longest wait in the router's queue for such a request.
     double queue_time = 0.5;
-    /// The same for a request beyond its workspace's share while nobody is backlogged: it takes
-    /// what would idle.
+    /// Longest wait at an engine for a request beyond its workspace's share while no workspace is
+    /// backlogged: such a request uses capacity that would otherwise be idle.
     double engine_wait_beyond = 0.6;
-    /// And while somebody is.
+    /// The same while some workspace is backlogged.
     double engine_wait_contended = 0.25;
+    /// Longest wait in the router's queue for a request beyond its workspace's share.
     double queue_time_beyond = 0.12;
-    /// Part of an engine's slots open to requests beyond their share; the rest is kept so that
-    /// those within it find a place at once.
+    /// Fraction of an engine's slots open to requests beyond their workspace's share while no
+    /// workspace is backlogged. The rest is reserved so that requests within their share find a
+    /// slot at once.
     double slot_share_beyond = 0.95;
+    /// The same while some workspace is backlogged.
     double slot_share_contended = 0.65;
-    /// Tokens of shared parts that an engine may read anew for a request beyond its share while
-    /// somebody is backlogged: such reading takes from those within theirs.
+    /// Tokens of shared prompt parts that an engine may prefill again for a request beyond its
+    /// workspace's share while some workspace is backlogged. Repeated prefill takes capacity from
+    /// requests within their share.
     std::uint32_t repeated_tokens_contended = 300;
-    /// A workspace beyond its share gets nothing more once it has had so many times what another
-    /// has that asks for more than its share and waits: that one's callers may all hold on to one
-    /// VM that can't carry more, and engines that would idle don't make up for it.
+    /// A workspace beyond its share is blocked once its excess ratio reaches this value. The
+    /// callers of the workspace that is behind may all be connected to one VM that cannot carry
+    /// more load; engines that idle meanwhile do not make up for that.
     double max_excess_ratio = 1.6;
-    /// How fast both shrink for a workspace that is ahead of a backlogged one.
+    /// How fast engine_wait_contended and slot_share_contended shrink as the excess ratio rises
+    /// above 1.
     double excess_slope = 3;
-    /// Requests that may wait at a router for each that fits an upstream's slots.
+    /// Requests that may wait in one router's queue.
     std::size_t max_queue_length = 200;
 };
 
-/// On which terms a request looks for a place.
+/// Limits under which a request may be placed on an upstream.
 struct admission_terms
 {
+    /// Longest wait behind other prompts at an engine.
     milliseconds longest_wait{};
+    /// Fraction of an engine's slots that the request may use.
     double slot_share = 1;
-    /// Tokens of shared prompt parts that may be read anew for it.
+    /// Tokens of shared prompt parts that an engine may prefill again for the request.
     std::uint32_t max_repeated_tokens = std::numeric_limits<std::uint32_t>::max();
-    /// How long it may wait at the router; then it is refused.
+    /// Longest wait in the router's queue; the request is rejected afterwards.
     milliseconds max_queue_time{};
-    /// No place at all now.
+    /// The request must not be placed on any upstream for now.
     bool blocked = false;
 };
 
-admission_terms admit(const route& by, const share_status& of,
+/// Returns the limits for a request on `request_route` whose workspace has the given share status.
+admission_terms admit(const route& request_route, const share_status& status,
                       const admission_options& options = {});
 
-/// When a refused caller should come back: `draw` is uniform in [0, 1) and spreads those refused at
-/// one moment. A caller within its share comes back soon, while its answer can still be on time;
-/// one beyond it when the window over which shares are kept has moved on.
-milliseconds retry_after(const route& by, double share_used, double draw);
+/// Returns how long a rejected caller should wait before it retries. `random_unit` is uniform in
+/// [0, 1) and spreads the retries of callers that were rejected at the same time. A caller within
+/// its share (`share_used` below 1) may retry while its answer can still be on time; a caller
+/// beyond it should wait until the window of the shares has advanced.
+milliseconds retry_after(const route& request_route, double share_used, double random_unit);
 
 }  // namespace caraway::routing
--- a/src/libcaraway/routing/load_tracker.cpp
+++ b/src/libcaraway/routing/load_tracker.cpp
@@ -9,9 +9,9 @@
 {
 
 template <class Number>
-void subtract(Number& from, Number amount)
+void subtract(Number& value, Number amount)
 {
-    from -= std::min(from, amount);
+    value -= std::min(value, amount);
 }
 
 }  // namespace
@@ -34,68 +34,69 @@
 
 load_tracker::load_tracker(load_options options) : options_(options) {}
 
-void load_tracker::record_start(const base::upstream_id& id, const upstream_load& of)
+void load_tracker::record_start(const base::upstream_id& id, const upstream_load& load)
 {
-    loads_[id].own += of;
+    loads_[id].own += load;
 }
 
-void load_tracker::record_prefill_done(const base::upstream_id& id, std::uint64_t unread_tokens)
+void load_tracker::record_prefill_done(const base::upstream_id& id,
+                                       std::uint64_t pending_prefill_tokens)
 {
     if (const auto known = loads_.find(id); known != loads_.end())
     {
-        known->second.own -= upstream_load{.pending_prefill_tokens = unread_tokens};
+        known->second.own -= upstream_load{.pending_prefill_tokens = pending_prefill_tokens};
     }
 }
 
-void load_tracker::record_end(const base::upstream_id& id, const upstream_load& of)
+void load_tracker::record_end(const base::upstream_id& id, const upstream_load& load)
 {
-    auto& mine = loads_[id].own;
-    mine -= of;
-    if (mine.running == 0)
+    auto& own = loads_[id].own;
+    own -= load;
+    if (own.running == 0)
     {
-        mine = {};
-        forget_if_empty(id);
+        own = {};
+        erase_if_idle(id);
     }
 }
 
 void load_tracker::set_peer(const base::node_id& peer, upstream_loads loads, base::time_point now)
 {
-    auto& known = peers_[peer];
+    auto& known_peer = peers_[peer];
     for (const auto& [id, load] : loads)
     {
-        loads_[id].others += load;
+        loads_[id].peers += load;
     }
-    for (const auto& [id, load] : known.loads)
+    for (const auto& [id, load] : known_peer.loads)
     {
-        loads_[id].others -= load;
-        forget_if_empty(id);
+        loads_[id].peers -= load;
+        erase_if_idle(id);
     }
-    known = {.loads = std::move(loads), .heard = now};
+    known_peer = {.loads = std::move(loads), .received = now};
 }
 
 void load_tracker::expire_peers(base::time_point now, std::chrono::milliseconds lifetime)
 {
     lifetime = std::max(lifetime, options_.peer_lifetime);
-    for (auto each = peers_.begin(); each != peers_.end();)
+    for (auto entry = peers_.begin(); entry != peers_.end();)
     {
-        if (each->second.heard + lifetime > now)
+        if (entry->second.received + lifetime > now)
         {
-            ++each;
+            ++entry;
             continue;
         }
-        for (const auto& [id, load] : each->second.loads)
+        for (const auto& [id, load] : entry->second.loads)
         {
-            loads_[id].others -= load;
-            forget_if_empty(id);
+            loads_[id].peers -= load;
+            erase_if_idle(id);
         }
-        each = peers_.erase(each);
+        entry = peers_.erase(entry);
     }
 }
 
-void load_tracker::forget_if_empty(const base::upstream_id& id)
+void load_tracker::erase_if_idle(const base::upstream_id& id)
 {
     const auto found = loads_.find(id);
-    if (found->second.own == upstream_load{} && found->second.others == upstream_load{})
+    if (found->second.own == upstream_load{} && found->second.peers == upstream_load{})
     {
         loads_.erase(found);
     }
@@ -103,15 +104,15 @@
 
 upstream_loads load_tracker::own_loads() const
 {
-    upstream_loads out;
+    upstream_loads loads;
     for (const auto& [id, known] : loads_)
     {
         if (known.own.running > 0)
         {
-            out.emplace(id, known.own);
+            loads.emplace(id, known.own);
         }
     }
-    return out;
+    return loads;
 }
 
 upstream_load load_tracker::total(const base::upstream_id& id) const
@@ -122,7 +123,7 @@
         return {};
     }
     auto sum = known->second.own;
-    sum += known->second.others;
+    sum += known->second.peers;
     return sum;
 }
 
--- a/src/libcaraway/routing/load_tracker.hpp
+++ b/src/libcaraway/routing/load_tracker.hpp
@@ -10,15 +10,15 @@
 namespace caraway::routing
 {
 
-/// What one upstream holds.
+/// Load of one upstream.
 struct upstream_load
 {
-    /// Requests sent and not ended.
+    /// Requests that were sent and have not ended.
     std::uint32_t running = 0;
-    /// Prompt tokens of requests that have shown no first event, as far as no cache is believed to
-    /// hold them.
+    /// Prompt tokens of the running requests without a first event, without those tokens that the
+    /// upstream's cache is assumed to hold.
     std::uint64_t pending_prefill_tokens = 0;
-    /// Prompt and expected output of all that run.
+    /// Prompt and expected output tokens of all running requests.
     std::uint64_t held_tokens = 0;
 
     upstream_load& operator+=(const upstream_load& other);
@@ -30,29 +30,31 @@
 
 struct load_options
 {
-    /// How long a silent router's share is believed: the upstreams drop a dead router's requests
-    /// when its connections end, and a cut one's run on for a while.
+    /// Time after its last digest from which on an unreachable router's load is not counted.
+    /// Upstreams cancel the requests of a crashed router when its connections close; those of a
+    /// router cut off by the network run on for a while.
     std::chrono::milliseconds peer_lifetime{1500};
 };
 
-/// What each upstream holds of the whole fleet: this router's own requests exactly, the other
-/// routers' by their latest digests. The upstreams' own reports aren't asked: they are older than
-/// the digests, and each question costs.
+/// The load that the whole fleet puts on each upstream: this router's own requests exactly, the
+/// other routers' requests as of their latest digests. The upstreams' own load reports are not
+/// used: they are older than the digests, and each query has a cost.
 class load_tracker
 {
 public:
     explicit load_tracker(load_options options = {});
 
-    void record_start(const base::upstream_id& id, const upstream_load& of);
-    /// Its first event came: its prompt is read.
-    void record_prefill_done(const base::upstream_id& id, std::uint64_t unread_tokens);
-    void record_end(const base::upstream_id& id, const upstream_load& of);
+    void record_start(const base::upstream_id& id, const upstream_load& load);
+    /// Records the first event of a request, after which its prompt needs no more prefill.
+    void record_prefill_done(const base::upstream_id& id, std::uint64_t pending_prefill_tokens);
+    void record_end(const base::upstream_id& id, const upstream_load& load);
 
     void set_peer(const base::node_id& peer, upstream_loads loads, base::time_point now);
-    /// `lifetime` if digests come so rarely that the usual one would drop living peers.
+    /// Drops the load of peers without a recent digest. A `lifetime` above the configured one is
+    /// used instead, for digests so rare that the configured one would drop live peers.
     void expire_peers(base::time_point now, std::chrono::milliseconds lifetime = {});
 
-    /// This router's, for its digest.
+    /// The load of this router's requests, for its digest.
     upstream_loads own_loads() const;
     upstream_load total(const base::upstream_id& id) const;
     std::uint32_t own_running(const base::upstream_id& id) const;
@@ -61,20 +63,21 @@
     struct peer_loads
     {
         upstream_loads loads;
-        base::time_point heard{};
+        base::time_point received{};
     };
 
     struct known_load
     {
         upstream_load own;
-        /// Of all peers.
-        upstream_load others;
+        /// Sum over all peers.
+        upstream_load peers;
     };
 
-    void forget_if_empty(const base::upstream_id& id);
+    void erase_if_idle(const base::upstream_id& id);
 
     load_options options_;
-    /// One look-up for each upstream that a request considers.
+    /// Holds own and peer load together, so that each upstream considered for a request takes one
+    /// look-up.
     std::unordered_map<base::upstream_id, known_load> loads_;
     std::map<base::node_id, peer_loads> peers_;
 };
--- a/src/libcaraway/routing/overload_guard.cpp
+++ b/src/libcaraway/routing/overload_guard.cpp
@@ -10,46 +10,47 @@
 namespace
 {
 
-/// Ticks without lateness, and without the limit being reached, after which there is none.
-constexpr int calm_ticks = 50;
+/// A limit is removed after this many ticks that were on time and did not reach it.
+constexpr int calm_ticks_until_removal = 50;
 
-/// The part of a limit from which on it counts as reached.
-constexpr double reached_part = 0.9;
+/// Fraction of a limit from which on it counts as reached.
+constexpr double reached_fraction = 0.9;
 
-/// A mean over some hundred requests: within a second on a router that is flooded.
-constexpr double yield_step = 0.01;
+/// Smoothing factor of the mean yield: about a hundred requests, which a flooded router receives
+/// within a second.
+constexpr double yield_smoothing = 0.01;
 
-std::size_t part_of(std::size_t whole, double part)
+std::size_t scaled(std::size_t count, double factor)
 {
-    return static_cast<std::size_t>(std::lround(static_cast<double>(whole) * part));
+    return static_cast<std::size_t>(std::lround(static_cast<double>(count) * factor));
 }
 
-bool is_reached(std::size_t limit, std::size_t taken)
+bool is_reached(std::size_t limit, std::size_t current)
 {
-    return taken >= part_of(limit, reached_part);
+    return current >= scaled(limit, reached_fraction);
 }
 
 }  // namespace
 
-void adaptive_limit::lower(std::size_t taken, double decrease, std::size_t least)
+void adaptive_limit::lower(std::size_t current, double decrease, std::size_t minimum)
 {
-    value_ = std::max(least, std::min(value_, part_of(taken, decrease)));
-    calm_in_a_row_ = 0;
+    value_ = std::max(minimum, std::min(value_, scaled(current, decrease)));
+    consecutive_calm_ticks_ = 0;
 }
 
-void adaptive_limit::raise(std::size_t taken, double growth)
+void adaptive_limit::raise(std::size_t current, double growth)
 {
     if (!is_set())
     {
         return;
     }
-    if (is_reached(value_, taken))
+    if (is_reached(value_, current))
     {
-        value_ += std::max<std::size_t>(1, part_of(value_, growth));
-        calm_in_a_row_ = 0;
+        value_ += std::max<std::size_t>(1, scaled(value_, growth));
+        consecutive_calm_ticks_ = 0;
         return;
     }
-    if (++calm_in_a_row_ >= calm_ticks)
+    if (++consecutive_calm_ticks_ >= calm_ticks_until_removal)
     {
         value_ = unlimited;
     }
@@ -57,50 +58,52 @@
 
 overload_guard::overload_guard(overload_options options) : options_(options) {}
 
-bool overload_guard::record_connection(std::size_t under_way)
+bool overload_guard::record_connection(std::size_t active_streams)
 {
-    ++taken_;
-    const auto room = streams_.value() - std::min(streams_.value(), under_way);
-    const auto most = std::min(connections_.value(), room);
-    return taken_ < std::max(options_.min_connections, most);
+    ++new_connections_;
+    const auto stream_capacity = streams_.value() - std::min(streams_.value(), active_streams);
+    const auto max_connections = std::min(connections_.value(), stream_capacity);
+    return new_connections_ < std::max(options_.min_connections, max_connections);
 }
 
-bool overload_guard::admits(const stream_effort& of, std::size_t under_way, double draw)
+bool overload_guard::admits(const stream_effort& effort, std::size_t active_streams,
+                            double random_unit)
 {
-    const auto yield = of.yield();
-    usual_yield_ += (yield - usual_yield_) * yield_step;
+    const auto yield = effort.yield();
+    mean_yield_ += (yield - mean_yield_) * yield_smoothing;
     if (!streams_.is_set())
     {
         return true;
     }
-    const bool poor = yield < options_.low_yield * usual_yield_;
-    return under_way < limit() && (!poor || draw < options_.low_yield_chance);
+    const bool low_yield = yield < options_.low_yield * mean_yield_;
+    return active_streams < limit() && (!low_yield || random_unit < options_.low_yield_chance);
 }
 
-void overload_guard::record_tick(std::chrono::milliseconds late, std::size_t under_way)
+void overload_guard::record_tick(std::chrono::milliseconds timer_delay, std::size_t active_streams)
 {
-    const auto taken = std::exchange(taken_, 0);
-    if (late >= options_.suspended_after)
+    const auto new_connections = std::exchange(new_connections_, 0);
+    if (timer_delay >= options_.suspended_after)
     {
         return;
     }
-    if (late <= options_.target_delay)
+    if (timer_delay <= options_.target_delay)
     {
-        late_in_a_row_ = 0;
-        connections_.raise(taken, options_.growth);
-        streams_.raise(under_way, options_.growth);
+        consecutive_late_ticks_ = 0;
+        connections_.raise(new_connections, options_.growth);
+        streams_.raise(active_streams, options_.growth);
         return;
     }
-    if (++late_in_a_row_ < options_.late_ticks)
+    if (++consecutive_late_ticks_ < options_.late_ticks)
     {
         return;
     }
-    if (taken > options_.min_connections)
+    if (new_connections > options_.min_connections)
     {
-        connections_.lower(taken, options_.decrease_connections, options_.min_connections);
+        connections_.lower(new_connections, options_.decrease_connections,
+                           options_.min_connections);
         return;
     }
-    streams_.lower(under_way, options_.decrease, options_.min_streams);
+    streams_.lower(active_streams, options_.decrease, options_.min_streams);
 }
 
 }  // namespace caraway::routing
--- a/src/libcaraway/routing/overload_guard.hpp
+++ b/src/libcaraway/routing/overload_guard.hpp
@@ -10,56 +10,62 @@
 
 struct overload_options
 {
-    /// How late a timer may be. A stream passes some six turns of the event loop before its first
-    /// event is with its caller, and 300 ms are on time: with turns of 20 ms a third is left to
-    /// the upstream. On VMs that keep up, timers are 2 to 4 ms late.
+    /// Timer delay up to which the router counts as keeping up. A stream takes about six
+    /// iterations of the event loop until its first event reaches the caller, and it is on time
+    /// within 300 ms: with iterations of 20 ms, a third of that is left for the upstream. Timers
+    /// are 2 to 4 ms late on VMs that keep up.
     std::chrono::milliseconds target_delay{20};
-    /// Ticks in a row that must be late: a configuration of hundreds of routes takes one, and is
-    /// no overload.
+    /// Consecutive late ticks that count as overload. A configuration with hundreds of routes makes
+    /// a single tick late, which is not overload.
     int late_ticks = 3;
-    /// A tick so late is a VM that stood still, not one that has too much to do.
+    /// A tick with at least this delay means that the VM was suspended, not that it is overloaded.
     std::chrono::milliseconds suspended_after{700};
-    /// At each late tick the limit becomes this part of what is under way; at each that isn't it
-    /// grows by `growth`.
+    /// Each late tick sets the limit to this fraction of the active streams; each tick that is on
+    /// time while the limit is reached raises the limit by the fraction `growth`.
     double decrease = 0.85;
     double growth = 0.05;
     std::size_t min_streams = 16;
-    /// The same for new connections of callers in a tick: 40 a second on ticks of 100 ms, so that
-    /// callers of all workspaces, and checks, still come in.
+    /// The same for new connections of callers per tick. Four per tick of 100 ms are 40 per second,
+    /// so that callers of all workspaces, and health checks, are still accepted.
     double decrease_connections = 0.7;
     std::size_t min_connections = 4;
-    /// A request that brings less than this part of the usual tokens for each event ...
+    /// A request has low yield if its yield is below this fraction of the mean yield.
     double low_yield = 0.5;
-    /// ... is let in this often while the router is busy. With the processor as what is short, a
-    /// workspace so gets more of its tokens through; none of its kinds of request starves.
+    /// Probability with which a low-yield request is admitted while the router is overloaded. When
+    /// the processor is the bottleneck, a workspace thus gets more tokens served, and none of its
+    /// kinds of request starves.
     double low_yield_chance = 0.35;
 };
 
-/// What a stream is for, and what it costs a router to pass it on.
+/// The tokens that a stream delivers and the work of relaying it.
 struct stream_effort
 {
-    /// Prompt and output.
+    /// Prompt and output tokens.
     double tokens = 0;
+    /// Events relayed to the caller.
     double events = 0;
 
-    /// Tokens for each event's worth of work; reading, placing and sending a request takes a router
-    /// some ten times what an event takes (130,000 to 13,000 instructions, callgrind).
+    /// Tokens per event's worth of work. Reading, placing and sending a request costs a router
+    /// about ten times as much as relaying an event (130,000 against 13,000 instructions, measured
+    /// with callgrind).
     double yield() const
     {
-        constexpr double request = 10;
-        return tokens / (request + events);
+        constexpr double request_cost = 10;
+        return tokens / (request_cost + events);
     }
 };
 
-/// How many of something may be: lowered to a part of what there was at each tick that is late,
-/// raised while it is reached and none is, gone after some seconds of neither.
+/// A limit that is lowered multiplicatively at each late tick, raised while it is reached and no
+/// tick is late, and removed after several seconds without either.
 class adaptive_limit
 {
 public:
     static constexpr std::size_t unlimited = std::numeric_limits<std::size_t>::max();
 
-    void lower(std::size_t taken, double decrease, std::size_t least);
-    void raise(std::size_t taken, double growth);
+    /// Lowers the limit to the fraction `decrease` of `current`, but not below `minimum`.
+    void lower(std::size_t current, double decrease, std::size_t minimum);
+    /// Raises the limit by the fraction `growth` if `current` has reached it.
+    void raise(std::size_t current, double growth);
     std::size_t value() const
     {
         return value_;
@@ -71,32 +77,35 @@
 
 private:
     std::size_t value_ = unlimited;
-    int calm_in_a_row_ = 0;
+    int consecutive_calm_ticks_ = 0;
 };
 
-/// Keeps a router from taking more streams than its processor can pass on. A workspace's callers
-/// may all hold on to one small VM and ask several times what it can carry; taken all, each waits
-/// in the event loop until its caller leaves, and nobody is served. The measure is how late timers
-/// fire, the only one that the process can see: its share of a processor isn't in its own clock.
+/// Keeps a router from accepting more streams than its processor can relay. All callers of a
+/// workspace may be connected to one small VM and send several times the load that it can carry. If
+/// all of it were accepted, each request would wait in the event loop until its caller leaves, and
+/// none would be served. Overload is detected by how late timers fire, which is the only measure
+/// available to the process: its own CPU clock does not show how much of a processor it is given.
 ///
-/// New connections give way first: beyond the limits their requests are read only to be refused.
+/// New connections are limited first: beyond their limit a request would be read only to be
+/// rejected.
 class overload_guard
 {
 public:
     explicit overload_guard(overload_options options = {});
 
-    /// A regular timer fired so late, with so many streams under way.
-    void record_tick(std::chrono::milliseconds late, std::size_t under_way);
-    /// Counts a caller's new connection, with so many streams under way; whether the tick may take
-    /// another.
-    bool record_connection(std::size_t under_way);
-    /// Whether one more may be taken, with so many under way; `draw` is uniform in [0, 1).
-    bool admits(const stream_effort& of, std::size_t under_way, double draw);
-    /// The processor is at its limit.
+    /// Records the delay of the regular timer and the number of active streams at that time.
+    void record_tick(std::chrono::milliseconds timer_delay, std::size_t active_streams);
+    /// Counts a new connection of a caller; returns whether another one may be accepted in the
+    /// current tick.
+    bool record_connection(std::size_t active_streams);
+    /// Returns whether one more stream may be accepted; `random_unit` is uniform in [0, 1).
+    bool admits(const stream_effort& effort, std::size_t active_streams, double random_unit);
+    /// Whether the processor is at its limit.
     bool overloaded() const
     {
         return streams_.is_set() || connections_.is_set();
     }
+    /// Streams that may be active; adaptive_limit::unlimited if there is no limit.
     std::size_t limit() const
     {
         return streams_.value();
@@ -105,12 +114,13 @@
 private:
     overload_options options_;
     adaptive_limit streams_;
-    /// New connections of callers in a tick, and those that this one took.
+    /// Limits the new connections of callers per tick.
     adaptive_limit connections_;
-    std::size_t taken_ = 0;
-    int late_in_a_row_ = 0;
-    /// Moving mean of what is asked.
-    double usual_yield_ = 0;
+    /// Connections recorded in the current tick.
+    std::size_t new_connections_ = 0;
+    int consecutive_late_ticks_ = 0;
+    /// Moving mean of the yield of all requests that arrived.
+    double mean_yield_ = 0;
 };
 
 }  // namespace caraway::routing
--- a/src/libcaraway/routing/refused_requests.cpp
+++ b/src/libcaraway/routing/refused_requests.cpp
@@ -7,61 +7,63 @@
 
 refused_requests::refused_requests(refused_options options) : options_(options) {}
 
-void refused_requests::add(request_fingerprint request, base::time_point now)
+void refused_requests::add(request_fingerprint fingerprint, base::time_point now)
 {
     expire(now);
-    remember({.request = request, .when = now, .own = true});
+    insert({.fingerprint = fingerprint, .recorded_at = now, .own = true});
 }
 
-bool refused_requests::contains(request_fingerprint request, base::time_point now) const
+bool refused_requests::contains(request_fingerprint fingerprint, base::time_point now) const
 {
-    const auto found = known_.find(request);
-    return found != known_.end() && found->second + options_.lifetime > now;
+    const auto found = recorded_at_.find(fingerprint);
+    return found != recorded_at_.end() && found->second + options_.lifetime > now;
 }
 
-std::vector<request_fingerprint> refused_requests::recent_own(std::chrono::milliseconds span,
+std::vector<request_fingerprint> refused_requests::recent_own(std::chrono::milliseconds max_age,
                                                               base::time_point now) const
 {
-    std::vector<request_fingerprint> out;
-    for (auto each = order_.rbegin(); each != order_.rend() && each->when + span > now; ++each)
+    std::vector<request_fingerprint> recent;
+    for (auto refusal = by_expiry_.rbegin();
+         refusal != by_expiry_.rend() && refusal->recorded_at + max_age > now; ++refusal)
     {
-        if (each->own && out.size() < options_.max_digest_entries)
+        if (refusal->own && recent.size() < options_.max_digest_entries)
         {
-            out.push_back(each->request);
+            recent.push_back(refusal->fingerprint);
         }
     }
-    return out;
+    return recent;
 }
 
-void refused_requests::merge(const std::vector<request_fingerprint>& others, base::time_point now)
+void refused_requests::merge(const std::vector<request_fingerprint>& fingerprints,
+                             base::time_point now)
 {
     expire(now);
-    for (const auto each : others)
+    for (const auto fingerprint : fingerprints)
     {
-        // Told again in several digests, so that a lost one does no harm.
-        if (!known_.contains(each))
+        // A refusal is listed in several digests, so that a lost digest does no harm.
+        if (!recorded_at_.contains(fingerprint))
         {
-            remember({.request = each, .when = now});
+            insert({.fingerprint = fingerprint, .recorded_at = now});
         }
     }
 }
 
-void refused_requests::remember(const entry& what)
+void refused_requests::insert(const entry& refusal)
 {
-    known_[what.request] = what.when;
-    order_.push_back(what);
+    recorded_at_[refusal.fingerprint] = refusal.recorded_at;
+    by_expiry_.push_back(refusal);
 }
 
 void refused_requests::expire(base::time_point now)
 {
-    while (!order_.empty() && order_.front().when + options_.lifetime <= now)
+    while (!by_expiry_.empty() && by_expiry_.front().recorded_at + options_.lifetime <= now)
     {
-        const auto found = known_.find(order_.front().request);
-        if (found != known_.end() && found->second + options_.lifetime <= now)
+        const auto found = recorded_at_.find(by_expiry_.front().fingerprint);
+        if (found != recorded_at_.end() && found->second + options_.lifetime <= now)
         {
-            known_.erase(found);
+            recorded_at_.erase(found);
         }
-        order_.pop_front();
+        by_expiry_.pop_front();
     }
 }
 
--- a/src/libcaraway/routing/refused_requests.hpp
+++ b/src/libcaraway/routing/refused_requests.hpp
@@ -10,60 +10,66 @@
 namespace caraway::routing
 {
 
-/// By which a request is known again when its caller sends it once more, at whichever router. Two
-/// of some thousand requests look alike once in a million; then one is taken for returned.
+/// Hash by which any router recognises a request that its caller sends again. With a few thousand
+/// requests recorded, about one fresh request in a million matches one of them by chance and is
+/// taken for resubmitted.
 enum class request_fingerprint : std::uint32_t
 {
 };
 
 struct refused_options
 {
-    /// Callers wait for a third of their time at most before they come back: 5 s of the longest
-    /// deadline on the deployments' sheets (15 s), and a little for the way.
+    /// Time for which a refusal is remembered. Callers wait for at most a third of their deadline
+    /// before they retry: 5 s for the longest deadline in the deployments' sheets (15 s), plus a
+    /// margin for transmission.
     std::chrono::milliseconds lifetime{6000};
-    /// Entries in one digest, 5 bytes each; the newest are told.
+    /// Entries in one digest, 5 bytes each; the newest ones are sent.
     std::size_t max_digest_entries = 96;
 };
 
-/// Requests that were refused lately, here or at a peer, so that one that comes back is known. Time
-/// runs from a caller's first try, so what comes back is late before it begins: where a workspace
-/// asks more than its share, serving it costs a fresh request that would have been on time. A
-/// flooded router can't tell the two apart by anything that callers send.
+/// Requests that were recently refused by this router or a peer, by which resubmitted requests are
+/// recognised. Latency counts from a caller's first attempt, so a resubmitted request is late
+/// before it starts. Where a workspace demands more than its share, serving a resubmitted request
+/// takes the slot of a fresh one that would have been on time. Nothing else that callers send lets
+/// a flooded router tell the two apart.
 class refused_requests
 {
 public:
     explicit refused_requests(refused_options options = {});
 
-    /// Refused by this router.
-    void add(request_fingerprint request, base::time_point now);
-    /// Whether it was refused before, at a router that told of it.
-    bool contains(request_fingerprint request, base::time_point now) const;
+    /// Records a refusal by this router.
+    void add(request_fingerprint fingerprint, base::time_point now);
+    /// Returns whether the request was refused before, by this router or by a peer whose digest
+    /// listed it.
+    bool contains(request_fingerprint fingerprint, base::time_point now) const;
 
-    /// What this router refused in the last `span`, newest first, for its digest.
-    std::vector<request_fingerprint> recent_own(std::chrono::milliseconds span,
+    /// Returns the requests that this router refused within the last `max_age`, newest first, for
+    /// its digest.
+    std::vector<request_fingerprint> recent_own(std::chrono::milliseconds max_age,
                                                 base::time_point now) const;
-    void merge(const std::vector<request_fingerprint>& others, base::time_point now);
+    /// Records refusals listed in a peer's digest.
+    void merge(const std::vector<request_fingerprint>& fingerprints, base::time_point now);
 
     std::size_t size() const
     {
-        return known_.size();
+        return recorded_at_.size();
     }
 
 private:
     struct entry
     {
-        request_fingerprint request;
-        base::time_point when;
+        request_fingerprint fingerprint;
+        base::time_point recorded_at;
         bool own = false;
     };
 
-    void remember(const entry& what);
+    void insert(const entry& refusal);
     void expire(base::time_point now);
 
     refused_options options_;
-    std::unordered_map<request_fingerprint, base::time_point> known_;
-    /// In the order in which they lapse.
-    std::deque<entry> order_;
+    std::unordered_map<request_fingerprint, base::time_point> recorded_at_;
+    /// In order of expiry.
+    std::deque<entry> by_expiry_;
 };
 
 }  // namespace caraway::routing
--- a/src/libcaraway/routing/wait_queue.cpp
+++ b/src/libcaraway/routing/wait_queue.cpp
@@ -8,7 +8,7 @@
 
 wait_id wait_queue::add(const waiting_request& request)
 {
-    const wait_id id{++last_};
+    const wait_id id{++last_id_};
     waiting_.emplace(id, request);
     return id;
 }
@@ -18,42 +18,43 @@
     waiting_.erase(id);
 }
 
-std::vector<wait_id> wait_queue::order(const share_used_lookup& fill) const
+std::vector<wait_id> wait_queue::order(const share_used_lookup& share_used) const
 {
-    std::map<base::workspace_id, double> fills;
+    std::map<base::workspace_id, double> used_shares;
     using key = std::tuple<double, bool, std::int32_t, base::time_point, wait_id>;
     std::vector<key> keys;
-    for (const auto& [id, each] : waiting_)
+    for (const auto& [id, request] : waiting_)
     {
-        const auto [place, added] = fills.try_emplace(each.workspace, 0.0);
+        const auto [used_share, added] = used_shares.try_emplace(request.workspace, 0.0);
         if (added)
         {
-            place->second = fill(each.workspace);
+            used_share->second = share_used(request.workspace);
         }
-        keys.emplace_back(place->second, each.resubmitted, each.priority, each.arrived, id);
+        keys.emplace_back(used_share->second, request.resubmitted, request.priority,
+                          request.arrived, id);
     }
     std::sort(keys.begin(), keys.end());
-    std::vector<wait_id> out;
-    out.reserve(keys.size());
-    for (const auto& each : keys)
+    std::vector<wait_id> ordered;
+    ordered.reserve(keys.size());
+    for (const auto& entry : keys)
     {
-        out.push_back(std::get<wait_id>(each));
+        ordered.push_back(std::get<wait_id>(entry));
     }
-    return out;
+    return ordered;
 }
 
 std::vector<wait_id> wait_queue::take_expired(base::time_point now)
 {
     std::vector<wait_id> expired;
-    for (auto each = waiting_.begin(); each != waiting_.end();)
+    for (auto entry = waiting_.begin(); entry != waiting_.end();)
     {
-        if (each->second.expires > now)
+        if (entry->second.expires > now)
         {
-            ++each;
+            ++entry;
             continue;
         }
-        expired.push_back(each->first);
-        each = waiting_.erase(each);
+        expired.push_back(entry->first);
+        entry = waiting_.erase(entry);
     }
     return expired;
 }
--- a/src/libcaraway/routing/wait_queue.hpp
+++ b/src/libcaraway/routing/wait_queue.hpp
@@ -12,17 +12,17 @@
 namespace caraway::routing
 {
 
-/// A request that waits for a place.
+/// A request that waits for a slot.
 struct waiting_request
 {
     base::workspace_id workspace;
     base::service_id service;
-    /// Came back after a refusal.
+    /// The caller sent the request again after a refusal.
     bool resubmitted = false;
     /// 0 is the most urgent.
     std::int32_t priority = 0;
     base::time_point arrived{};
-    /// When it is given up.
+    /// The request is rejected if it has no slot by then.
     base::time_point expires{};
 };
 
@@ -30,22 +30,23 @@
 {
 };
 
-/// Requests that found no place at once. Served by the workspace that has had the least of what it
-/// is due, then fresh ones before returned ones, then by urgency, then by arrival: so a flooding
-/// workspace's requests wait behind everyone else's, and within a workspace nothing is overtaken by
-/// what is no more urgent.
+/// Requests that found no slot on arrival. They are ordered by the share that their workspace has
+/// used, then fresh requests before resubmitted ones, then by urgency, then by arrival. So the
+/// requests of a flooding workspace wait behind those of all others, and within a workspace no
+/// request is overtaken by a later one that is not more urgent.
 class wait_queue
 {
 public:
-    /// How full a workspace's share is; see workspace_shares::share_used.
+    /// Returns the fraction of its share that a workspace has used; see
+    /// workspace_shares::share_used.
     using share_used_lookup = std::function<double(const base::workspace_id&)>;
 
     wait_id add(const waiting_request& request);
     void remove(wait_id id);
 
-    /// All that wait, in the order in which they should get places.
-    std::vector<wait_id> order(const share_used_lookup& fill) const;
-    /// Takes out those whose time is over.
+    /// Returns all waiting requests in the order in which they should get slots.
+    std::vector<wait_id> order(const share_used_lookup& share_used) const;
+    /// Removes and returns the requests that have expired.
     std::vector<wait_id> take_expired(base::time_point now);
 
     std::size_t size() const
@@ -55,7 +56,7 @@
 
 private:
     std::map<wait_id, waiting_request> waiting_;
-    std::uint64_t last_ = 0;
+    std::uint64_t last_id_ = 0;
 };
 
 }  // namespace caraway::routing
--- a/src/libcaraway/routing/workspace_shares.cpp
+++ b/src/libcaraway/routing/workspace_shares.cpp
@@ -10,21 +10,22 @@
 namespace
 {
 
-/// The most that each may get so that all together get no more than `capacity`.
-double max_min_level(std::vector<double> demands, double capacity)
+/// Returns the largest limit per workspace at which all demands, each cut to the limit, fit into
+/// `capacity`; infinite if all demands fit uncut.
+double max_min_fair_limit(std::vector<double> demands, double capacity)
 {
     std::sort(demands.begin(), demands.end());
-    double left = capacity;
-    std::size_t sharers = demands.size();
+    double remaining = capacity;
+    std::size_t remaining_demands = demands.size();
     for (const double demand : demands)
     {
-        const double even = left / static_cast<double>(sharers);
-        if (demand >= even)
+        const double even_limit = remaining / static_cast<double>(remaining_demands);
+        if (demand >= even_limit)
         {
-            return even;
+            return even_limit;
         }
-        left -= demand;
-        --sharers;
+        remaining -= demand;
+        --remaining_demands;
     }
     return std::numeric_limits<double>::infinity();
 }
@@ -51,48 +52,48 @@
 void workspace_shares::record_demand(const base::workspace_id& id, double tokens,
                                      base::time_point now)
 {
-    current(id, now).demanded += tokens;
-    total_[id].demanded += tokens;
+    current_bucket(id, now).demanded += tokens;
+    fleet_usage_[id].demanded += tokens;
 }
 
 void workspace_shares::record_served(const base::workspace_id& id, double tokens,
                                      base::time_point now)
 {
-    current(id, now).served += tokens;
-    total_[id].served += tokens;
+    current_bucket(id, now).served += tokens;
+    fleet_usage_[id].served += tokens;
 }
 
 void workspace_shares::retract_served(const base::workspace_id& id, double tokens,
                                       base::time_point now)
 {
-    // Its service may stand in an earlier part of the window, so a part may be below zero; the
-    // sum isn't for long, as both leave the window.
-    current(id, now).served -= tokens;
-    auto& all = total_[id];
-    all.served = std::max(0.0, all.served - tokens);
+    // The service may have been counted in an earlier bucket, so this bucket can become negative.
+    // The sum is negative only for a short time, as both buckets leave the window.
+    current_bucket(id, now).served -= tokens;
+    auto& usage = fleet_usage_[id];
+    usage.served = std::max(0.0, usage.served - tokens);
 }
 
 void workspace_shares::set_peer(const base::node_id& peer, workspace_usages usages,
                                 base::time_point now)
 {
-    peers_[peer] = {.usages = std::move(usages), .heard = now};
+    peers_[peer] = {.usages = std::move(usages), .received = now};
 }
 
 workspace_usages workspace_shares::own_usages(base::time_point now)
 {
-    workspace_usages out;
-    for (auto each = own_.begin(); each != own_.end();)
+    workspace_usages usages;
+    for (auto entry = own_.begin(); entry != own_.end();)
     {
-        const auto usage = sum(each->second, now);
+        const auto usage = window_total(entry->second, now);
         if (usage.demanded == 0 && usage.served == 0)
         {
-            each = own_.erase(each);
+            entry = own_.erase(entry);
             continue;
         }
-        out[each->first] = usage;
-        ++each;
+        usages[entry->first] = usage;
+        ++entry;
     }
-    return out;
+    return usages;
 }
 
 double workspace_shares::share_used(const base::workspace_id& id, base::time_point now)
@@ -101,11 +102,11 @@
     {
         return 0;
     }
-    if (now >= allocated_ + options_.refresh_interval)
+    if (now >= last_allocation_ + options_.refresh_interval)
     {
         allocate(now);
     }
-    return total_[id].served / even_share_;
+    return fleet_usage_[id].served / even_share_;
 }
 
 double workspace_shares::excess_ratio(const base::workspace_id& id, base::time_point now)
@@ -113,28 +114,29 @@
     return status(id, false, now).excess_ratio;
 }
 
-double workspace_shares::ahead_of_others(const base::workspace_id& id) const
+double workspace_shares::excess_over_backlogged(const base::workspace_id& id) const
 {
-    if (!backlogged_)
+    if (!any_backlogged_)
     {
         return 0;
     }
-    return std::isinf(min_backlogged_served_) ? 1 : total_.at(id).served / min_backlogged_served_;
+    return std::isinf(min_backlogged_served_) ? 1
+                                              : fleet_usage_.at(id).served / min_backlogged_served_;
 }
 
-share_status workspace_shares::status(const base::workspace_id& id, bool returned,
+share_status workspace_shares::status(const base::workspace_id& id, bool resubmitted,
                                       base::time_point now)
 {
     if (capacity_ <= 0)
     {
         return {};
     }
-    const double had = share_used(id, now);
-    const double wanted = total_[id].demanded / even_share_;
-    const double counted = returned ? std::max(had, wanted) : had;
-    return {.share_used = counted,
-            .excess_ratio = counted < 1 ? 0 : ahead_of_others(id),
-            .resubmitted = returned};
+    const double used = share_used(id, now);
+    const double demanded = fleet_usage_[id].demanded / even_share_;
+    const double counted_share = resubmitted ? std::max(used, demanded) : used;
+    return {.share_used = counted_share,
+            .excess_ratio = counted_share < 1 ? 0 : excess_over_backlogged(id),
+            .resubmitted = resubmitted};
 }
 
 std::vector<workspace_view> workspace_shares::highest_demand(std::size_t count,
@@ -148,10 +150,10 @@
     std::sort(views.begin(), views.end(),
               [](const auto& a, const auto& b) { return a.own.demanded > b.own.demanded; });
     views.resize(std::min(count, views.size()));
-    for (auto& each : views)
+    for (auto& view : views)
     {
-        each.status = status(each.id, false, now);
-        each.fleet_total = total_[each.id];
+        view.status = status(view.id, false, now);
+        view.fleet_total = fleet_usage_[view.id];
     }
     return views;
 }
@@ -159,95 +161,98 @@
 share_basis workspace_shares::basis(base::time_point now)
 {
     using std::chrono::milliseconds;
-    share_basis out{.even_share = even_share_,
-                    .backlogged = backlogged_,
-                    .min_backlogged_served = min_backlogged_served_};
-    base::duration sum{};
+    share_basis summary{.even_share = even_share_,
+                        .backlogged = any_backlogged_,
+                        .min_backlogged_served = min_backlogged_served_};
+    base::duration total_age{};
     for (const auto& [peer, known] : peers_)
     {
-        const auto age = now - known.heard;
-        sum += age;
-        out.oldest_age = std::max(out.oldest_age, std::chrono::duration_cast<milliseconds>(age));
+        const auto age = now - known.received;
+        total_age += age;
+        summary.oldest_age =
+            std::max(summary.oldest_age, std::chrono::duration_cast<milliseconds>(age));
     }
     if (!peers_.empty())
     {
-        out.mean_age =
-            std::chrono::duration_cast<milliseconds>(sum / static_cast<int>(peers_.size()));
+        summary.mean_age =
+            std::chrono::duration_cast<milliseconds>(total_age / static_cast<int>(peers_.size()));
     }
-    return out;
+    return summary;
 }
 
-std::int64_t workspace_shares::part_number(base::time_point now) const
+std::int64_t workspace_shares::bucket_number(base::time_point now) const
 {
-    const base::duration part = options_.window / static_cast<int>(parts);
-    return now.time_since_epoch() / part;
+    const base::duration bucket_length = options_.window / static_cast<int>(bucket_count);
+    return now.time_since_epoch() / bucket_length;
 }
 
-workspace_usage& workspace_shares::current(const base::workspace_id& id, base::time_point now)
+workspace_usage& workspace_shares::current_bucket(const base::workspace_id& id,
+                                                  base::time_point now)
 {
-    auto& of = own_[id];
-    const auto number = part_number(now);
-    slide(of, number);
-    return of.part[static_cast<std::size_t>(number) % parts];
+    auto& counts = own_[id];
+    const auto number = bucket_number(now);
+    advance(counts, number);
+    return counts.buckets[static_cast<std::size_t>(number) % bucket_count];
 }
 
-workspace_usage workspace_shares::sum(sliding& of, base::time_point now) const
+workspace_usage workspace_shares::window_total(sliding_window& counts, base::time_point now) const
 {
-    slide(of, part_number(now));
-    workspace_usage all;
-    for (const auto& part : of.part)
+    advance(counts, bucket_number(now));
+    workspace_usage total;
+    for (const auto& bucket : counts.buckets)
     {
-        all.demanded += part.demanded;
-        all.served += part.served;
+        total.demanded += bucket.demanded;
+        total.served += bucket.served;
     }
-    all.served = std::max(0.0, all.served);
-    return all;
+    total.served = std::max(0.0, total.served);
+    return total;
 }
 
-void workspace_shares::slide(sliding& of, std::int64_t to) const
+void workspace_shares::advance(sliding_window& counts, std::int64_t bucket) const
 {
-    const auto stale = std::min<std::int64_t>(to - of.newest, parts);
-    for (std::int64_t step = 0; step < stale; ++step)
+    const auto expired_buckets =
+        std::min<std::int64_t>(bucket - counts.newest_bucket, bucket_count);
+    for (std::int64_t step = 0; step < expired_buckets; ++step)
     {
-        of.part[static_cast<std::size_t>(to - step) % parts] = {};
+        counts.buckets[static_cast<std::size_t>(bucket - step) % bucket_count] = {};
     }
-    of.newest = std::max(of.newest, to);
+    counts.newest_bucket = std::max(counts.newest_bucket, bucket);
 }
 
 void workspace_shares::allocate(base::time_point now)
 {
-    allocated_ = now;
-    total_ = own_usages(now);
-    std::erase_if(peers_, [&](const auto& each)
-                  { return each.second.heard + options_.peer_lifetime <= now; });
+    last_allocation_ = now;
+    fleet_usage_ = own_usages(now);
+    std::erase_if(peers_, [&](const auto& entry)
+                  { return entry.second.received + options_.peer_lifetime <= now; });
     for (const auto& [peer, known] : peers_)
     {
         for (const auto& [id, usage] : known.usages)
         {
-            total_[id].demanded += usage.demanded;
-            total_[id].served += usage.served;
+            fleet_usage_[id].demanded += usage.demanded;
+            fleet_usage_[id].served += usage.served;
         }
     }
     std::vector<double> demands;
-    backlogged_ = false;
-    for (const auto& [id, usage] : total_)
+    any_backlogged_ = false;
+    for (const auto& [id, usage] : fleet_usage_)
     {
         demands.push_back(usage.demanded);
-        backlogged_ = backlogged_ || waits(usage);
+        any_backlogged_ = any_backlogged_ || is_backlogged(usage);
     }
     const double seconds = std::chrono::duration<double>(options_.window).count();
-    even_share_ = max_min_level(std::move(demands), capacity_ * seconds);
+    even_share_ = max_min_fair_limit(std::move(demands), capacity_ * seconds);
     min_backlogged_served_ = std::numeric_limits<double>::infinity();
-    for (const auto& [id, usage] : total_)
+    for (const auto& [id, usage] : fleet_usage_)
     {
-        if (waits(usage) && usage.demanded > even_share_)
+        if (is_backlogged(usage) && usage.demanded > even_share_)
         {
             min_backlogged_served_ = std::min(min_backlogged_served_, std::max(usage.served, 1.0));
         }
     }
 }
 
-bool workspace_shares::waits(const workspace_usage& usage) const
+bool workspace_shares::is_backlogged(const workspace_usage& usage) const
 {
     return usage.served < options_.backlogged_below * usage.demanded;
 }
--- a/src/libcaraway/routing/workspace_shares.hpp
+++ b/src/libcaraway/routing/workspace_shares.hpp
@@ -11,26 +11,29 @@
 namespace caraway::routing
 {
 
-/// Tokens of one workspace over the window.
+/// Tokens of one workspace's requests within the window, in the unit of the capacity.
 struct workspace_usage
 {
+    /// Requests that arrived.
     double demanded = 0;
+    /// Requests that were sent to engines.
     double served = 0;
 };
 
-/// What a workspace has had: of its share, 1 being all (workspace_shares::share_used), and against
-/// others that wait (workspace_shares::excess_ratio).
+/// How a workspace's service compares with its fair share and with other backlogged workspaces.
 struct share_status
 {
+    /// See workspace_shares::share_used.
     double share_used = 0;
+    /// See workspace_shares::excess_ratio.
     double excess_ratio = 0;
-    /// Came back after a refusal: late before it begins.
+    /// The caller sent the request again after a refusal, so it is late before it starts.
     bool resubmitted = false;
 };
 
 using workspace_usages = std::map<base::workspace_id, workspace_usage>;
 
-/// A workspace's counts as a router sees them, for its log.
+/// A workspace's counts as seen by one router, for its log.
 struct workspace_view
 {
     base::workspace_id id;
@@ -39,106 +42,112 @@
     share_status status;
 };
 
-/// What shares are decided on, for the log.
+/// The quantities that the allocation is based on, for the log.
 struct share_basis
 {
-    /// Tokens that a workspace is due in the window.
+    /// Tokens that each workspace is entitled to within the window.
     double even_share = 0;
-    /// Some workspace gets less than it asks.
+    /// Some workspace is served less than it demands.
     bool backlogged = false;
-    /// The least that one has had that asks for more than its share; infinite if none waits.
+    /// Fewest tokens served to a backlogged workspace that demands more than its share; infinite if
+    /// there is none.
     double min_backlogged_served = 0;
-    /// How long ago the other routers' counts were heard.
+    /// Time since the other routers' counts were received.
     std::chrono::milliseconds mean_age{};
     std::chrono::milliseconds oldest_age{};
 };
 
 struct share_options
 {
-    /// The time over which shares are kept.
+    /// Length of the sliding window over which demand and service are counted.
     std::chrono::milliseconds window{4000};
-    /// How long a silent router's counts are believed.
+    /// Time after which the last counts of an unreachable router are dropped.
     std::chrono::milliseconds peer_lifetime{4000};
-    /// How old an allocation may be; it is a sort over the workspaces.
+    /// Longest time for which an allocation is reused; computing one sorts all workspaces.
     std::chrono::milliseconds refresh_interval{100};
-    /// A workspace is backlogged that gets less than this part of what it asks.
+    /// A workspace is backlogged while it is served less than this fraction of its demand.
     double backlogged_below = 0.92;
 };
 
-/// Divides by max-min what all engines give: a workspace that asks less than an even share gets all
-/// it asks, the others the same each. Counts own requests and, by their digests, those at the other
-/// routers.
+/// Max-min fair shares of the capacity of all engines: a workspace that demands less than the even
+/// share gets all of its demand, the others get the even share. Counts this router's own requests
+/// and, from their digests, those of the other routers.
 class workspace_shares
 {
 public:
     explicit workspace_shares(share_options options = {});
 
-    /// Tokens a second of all engines together; 0: unknown, nobody is over its share.
+    /// Capacity of all engines together, in tokens per second. While it is 0 (unknown), no
+    /// workspace is beyond its share.
     void set_capacity(double tokens_per_second);
     void set_window(std::chrono::milliseconds window);
 
-    /// A request came: `tokens` in the unit of the capacity.
+    /// Records the arrival of a request; `tokens` are in the unit of the capacity.
     void record_demand(const base::workspace_id& id, double tokens, base::time_point now);
-    /// One was sent to an engine.
+    /// Records a request that was sent to an engine.
     void record_served(const base::workspace_id& id, double tokens, base::time_point now);
-    /// Takes back what was counted as served: the upstream didn't run it, or was lost with it.
+    /// Reverts record_served for a request that the upstream did not run or that was lost when the
+    /// upstream failed.
     void retract_served(const base::workspace_id& id, double tokens, base::time_point now);
 
     void set_peer(const base::node_id& peer, workspace_usages usages, base::time_point now);
     /// This router's counts, for its digest.
     workspace_usages own_usages(base::time_point now);
 
-    /// What the workspace has had of what it is due in the window: 1 is all of it.
+    /// Tokens served to the workspace within the window, as a fraction of the even share; 1 is all
+    /// of it.
     double share_used(const base::workspace_id& id, base::time_point now);
-    /// Beyond its share, what it has had against the least that any has had that asks for more than
-    /// its share and waits: they divide what is left over evenly. 1 while only workspaces wait that
-    /// ask for less: these go first by their own terms, and say nothing of the order of the others.
-    /// 0 while nobody waits.
+    /// For a workspace beyond its share: its served tokens divided by min_backlogged_served. The
+    /// workspaces beyond their share divide the remaining capacity evenly by this ratio. 1 while
+    /// only workspaces are backlogged that demand less than their share: these have their own
+    /// admission terms and say nothing about the order of the others. 0 while no workspace is
+    /// backlogged, and for a workspace within its share.
     double excess_ratio(const base::workspace_id& id, base::time_point now);
-    /// All of it. A request that `returned` after a refusal stands behind the fresh ones: it is
-    /// beyond the share already if these ask for all of it.
-    share_status status(const base::workspace_id& id, bool returned, base::time_point now);
+    /// Returns the whole share status. A `resubmitted` request has lower priority than the
+    /// workspace's fresh requests: it counts as beyond the share as soon as the workspace's demand
+    /// uses all of the share.
+    share_status status(const base::workspace_id& id, bool resubmitted, base::time_point now);
 
-    /// Those that asked most at this router, at most `count`.
+    /// The workspaces with the highest demand at this router, at most `count`, in descending order.
     std::vector<workspace_view> highest_demand(std::size_t count, base::time_point now);
     share_basis basis(base::time_point now);
 
 private:
-    /// Parts of the window that are dropped at a time; a count is at most an eighth too old.
-    static constexpr std::size_t parts = 8;
+    /// The window is dropped in buckets, so a count is at most an eighth of the window too old.
+    static constexpr std::size_t bucket_count = 8;
 
-    struct sliding
+    struct sliding_window
     {
-        std::array<workspace_usage, parts> part{};
-        std::int64_t newest = 0;
+        std::array<workspace_usage, bucket_count> buckets{};
+        std::int64_t newest_bucket = 0;
     };
 
-    std::int64_t part_number(base::time_point now) const;
-    workspace_usage& current(const base::workspace_id& id, base::time_point now);
-    workspace_usage sum(sliding& of, base::time_point now) const;
-    void slide(sliding& of, std::int64_t to) const;
+    std::int64_t bucket_number(base::time_point now) const;
+    workspace_usage& current_bucket(const base::workspace_id& id, base::time_point now);
+    workspace_usage window_total(sliding_window& counts, base::time_point now) const;
+    void advance(sliding_window& counts, std::int64_t bucket) const;
     void allocate(base::time_point now);
-    bool waits(const workspace_usage& usage) const;
-    double ahead_of_others(const base::workspace_id& id) const;
+    bool is_backlogged(const workspace_usage& usage) const;
+    double excess_over_backlogged(const base::workspace_id& id) const;
 
     struct peer_usages
     {
         workspace_usages usages;
-        base::time_point heard{};
+        base::time_point received{};
     };
 
     share_options options_;
     double capacity_ = 0;
-    std::map<base::workspace_id, sliding> own_;
+    std::map<base::workspace_id, sliding_window> own_;
     std::map<base::node_id, peer_usages> peers_;
-    /// Fleet-wide, as of the last allocation.
-    workspace_usages total_;
+    /// Usage of the whole fleet as of the last allocation, plus this router's changes since then.
+    workspace_usages fleet_usage_;
     double even_share_ = 0;
-    /// Some workspace gets less than it asks.
-    bool backlogged_ = false;
-    /// The least that one has had that asks for more than an even share; infinite if none waits.
+    /// Some workspace is served less than it demands.
+    bool any_backlogged_ = false;
+    /// See share_basis::min_backlogged_served.
     double min_backlogged_served_ = std::numeric_limits<double>::infinity();
-    base::time_point allocated_{};
+    base::time_point last_allocation_{};
 };
 
 }  // namespace caraway::routing
