--- a/src/libcaraway/routing/load_tracker.hpp
+++ b/src/libcaraway/routing/load_tracker.hpp
@@ -30,9 +30,9 @@
 
 struct load_options
 {
-    /// Time after its last digest from which on an unreachable router's load is not counted.
-    /// Upstreams cancel the requests of a crashed router when its connections close; those of a
-    /// router cut off by the network run on for a while.
+    /// Time since its last digest after which a router's load is no longer counted. Upstreams
+    /// cancel the requests of a crashed router when its connections close; those of a router cut
+    /// off by the network run on for a while.
     std::chrono::milliseconds peer_lifetime{1500};
 };
 
