--- a/src/libcaraway/routing/admission.hpp
+++ b/src/libcaraway/routing/admission.hpp
@@ -52,7 +52,7 @@
     double slot_share = 1;
     /// Tokens of shared prompt parts that an engine may prefill again for the request.
     std::uint32_t max_repeated_tokens = std::numeric_limits<std::uint32_t>::max();
-    /// Longest wait in the router's queue; the request is rejected afterwards.
+    /// Longest wait in the router's queue; the request is refused afterwards.
     milliseconds max_queue_time{};
     /// The request must not be placed on any upstream for now.
     bool blocked = false;
@@ -62,8 +62,8 @@
 admission_terms admit(const route& request_route, const share_status& status,
                       const admission_options& options = {});
 
-/// Returns how long a rejected caller should wait before it retries. `random_unit` is uniform in
-/// [0, 1) and spreads the retries of callers that were rejected at the same time. A caller within
+/// Returns how long a refused caller should wait before it retries. `random_unit` is uniform in
+/// [0, 1) and spreads the retries of callers that were refused at the same time. A caller within
 /// its share (`share_used` below 1) may retry while its answer can still be on time; a caller
 /// beyond it should wait until the window of the shares has advanced.
 milliseconds retry_after(const route& request_route, double share_used, double random_unit);
--- a/src/libcaraway/routing/overload_guard.hpp
+++ b/src/libcaraway/routing/overload_guard.hpp
@@ -87,7 +87,7 @@
 /// available to the process: its own CPU clock does not show how much of a processor it is given.
 ///
 /// New connections are limited first: beyond their limit a request would be read only to be
-/// rejected.
+/// refused.
 class overload_guard
 {
 public:
--- a/src/libcaraway/routing/wait_queue.hpp
+++ b/src/libcaraway/routing/wait_queue.hpp
@@ -22,7 +22,7 @@
     /// 0 is the most urgent.
     std::int32_t priority = 0;
     base::time_point arrived{};
-    /// The request is rejected if it has no slot by then.
+    /// The request is refused if it has no slot by then.
     base::time_point expires{};
 };
 
