--- a/src/libcaraway/router/core.cpp
+++ b/src/libcaraway/router/core.cpp
@@ -21,15 +21,15 @@
     return options;
 }
 
-std::map<base::service_id, routing::warmup_terms>
-warmup_terms_of(const routing::configuration& from)
+std::map<base::service_id, routing::warmup_limits>
+warmup_limits_of(const routing::configuration& from)
 {
-    std::map<base::service_id, routing::warmup_terms> terms;
+    std::map<base::service_id, routing::warmup_limits> terms;
     for (const auto& each : from.services)
     {
         if (each.warmup_rate > 0)
         {
-            terms[each.id] = {.lasts = each.warmup, .rate = each.warmup_rate};
+            terms[each.id] = {.duration = each.warmup, .requests_per_s = each.warmup_rate};
         }
     }
     return terms;
@@ -58,7 +58,7 @@
                                {"from", from},
                                {"routes", accepted.routes.size()},
                                {"workspaces", accepted.workspaces.size()}});
-    cold.set_terms(warmup_terms_of(accepted));
+    cold.set_limits(warmup_limits_of(accepted));
     table_ = std::make_shared<const routing::route_table>(std::move(accepted));
     set_share_capacity();
     return true;
@@ -81,7 +81,7 @@
         {
             if (each.zone == what.zone)
             {
-                note_cold(each, cold.terms_of(each.service).lasts, "zone_taken_back");
+                note_cold(each, cold.limits_of(each.service).duration, "zone_taken_back");
             }
         }
         pump();
@@ -92,7 +92,7 @@
 void core::note_cold(const routing::upstream& which, std::chrono::milliseconds left,
                      std::string_view because)
 {
-    if (cold.note_cold(which, left, now()))
+    if (cold.record_cold(which, left, now()))
     {
         log.line("upstream_cold",
                  {{"upstream", which.id.str()}, {"left_ms", left.count()}, {"because", because}});
@@ -218,12 +218,12 @@
 
 void core::note_lost(const base::upstream_id& id, attempts::request_fingerprint request)
 {
-    log_crash(crashes.lost(id, request, now()));
+    log_crash(crashes.record_lost(id, request, now()));
 }
 
 void core::note_unreachable(const base::upstream_id& id)
 {
-    log_crash(crashes.unreachable(id, now()));
+    log_crash(crashes.record_unreachable(id, now()));
 }
 
 void core::note_restarted(const base::upstream_id& id, std::chrono::milliseconds born)
@@ -232,7 +232,7 @@
     pool.close_all(id);
     placer.forget(id);
     health.forget(id);
-    log_crash(crashes.restarted(id, now()));
+    log_crash(crashes.record_restarted(id, now()));
     std::vector<std::shared_ptr<request_session>> there;
     if (const auto found = at_upstreams_.find(id); found != at_upstreams_.end())
     {
--- a/src/libcaraway/router/core.hpp
+++ b/src/libcaraway/router/core.hpp
@@ -5,13 +5,13 @@
 #include "libcaraway/metrics/registry.hpp"
 #include "libcaraway/router/ports.hpp"
 #include "libcaraway/router/settings.hpp"
-#include "libcaraway/routing/crash_watch.hpp"
+#include "libcaraway/routing/crash_tracker.hpp"
 #include "libcaraway/routing/load_board.hpp"
 #include "libcaraway/routing/overload_guard.hpp"
 #include "libcaraway/routing/peer_table.hpp"
 #include "libcaraway/routing/placer.hpp"
 #include "libcaraway/routing/refused_requests.hpp"
-#include "libcaraway/routing/retry_ledger.hpp"
+#include "libcaraway/routing/retry_budget.hpp"
 #include "libcaraway/routing/route_table.hpp"
 #include "libcaraway/routing/slow_start.hpp"
 #include "libcaraway/routing/waiting_line.hpp"
@@ -108,14 +108,14 @@
     routing::load_board board;
     routing::workspace_shares shares;
     routing::waiting_line line;
-    routing::retry_ledger retries;
-    routing::crash_watch crashes;
+    routing::retry_budget retries;
+    routing::crash_tracker crashes;
     routing::refused_requests refused;
     routing::overload_guard overload;
     /// Requests for engines under way: what a router's processor is spent on.
     std::size_t streams = 0;
     routing::placer placer;
-    routing::reading_pace pace;
+    routing::prefill_pace pace;
     scheduling::scheduler_options health_options;
     scheduling::upstream_health health;
     /// Requests that came in, ever.
--- a/src/libcaraway/router/daemon_peers.cpp
+++ b/src/libcaraway/router/daemon_peers.cpp
@@ -317,7 +317,7 @@
     {
         next_readings_ = now + readings_period;
         core_.pace.refresh(now);
-        out.readings = core_.pace.own(now);
+        out.readings = core_.pace.own_records(now);
     }
     out.leaving = core_.directory.leaving(now);
     out.zones = core_.directory.zones().statements();
--- a/src/libcaraway/router/daemon_tables.cpp
+++ b/src/libcaraway/router/daemon_tables.cpp
@@ -150,7 +150,7 @@
 void daemon::set_shares_of_limits()
 {
     const auto routers = peers_.size() + 1;
-    core_.retries.set_routers(routers);
+    core_.retries.set_router_count(routers);
     const auto pace = static_cast<int>(1 + routers / paced_from);
     const auto notice = static_cast<double>(core_.options.leaving_notice.count());
     const milliseconds longest_gap(static_cast<std::int64_t>(gap_of_notice * notice));
--- a/src/libcaraway/router/daemon_upstreams.cpp
+++ b/src/libcaraway/router/daemon_upstreams.cpp
@@ -150,17 +150,17 @@
     }
     else if (appeared && upstreams_listed_)
     {
-        core_.note_cold(entry, core_.cold.terms_of(entry.service).lasts, "appeared");
+        core_.note_cold(entry, core_.cold.limits_of(entry.service).duration, "appeared");
     }
 }
 
 void daemon::follow_warmups(base::time_point now)
 {
-    if (core_.cold.any() || now >= next_sweep_)
+    if (core_.cold.any_cold() || now >= next_sweep_)
     {
         auto fleet = peers_.fleet(now);
         const bool starts = fleet.peers.empty() && !core_.options.seeds.empty();
-        fleet.cut_off |= starts && now - started_ < first_peers;
+        fleet.isolated |= starts && now - started_ < first_peers;
         core_.cold.set_fleet(std::move(fleet));
     }
     core_.note_warm();
--- a/src/libcaraway/router/request_attempts.cpp
+++ b/src/libcaraway/router/request_attempts.cpp
@@ -12,7 +12,7 @@
 {
 
 using http::view;
-using routing::attempt_end;
+using routing::attempt_outcome;
 using routing::next_step;
 using std::chrono::milliseconds;
 
@@ -20,35 +20,35 @@
 /// again; larger ones would fill a small VM's memory.
 constexpr std::size_t max_held_answer = 4U << 20U;
 
-attempt_end end_of(http::call_failure why)
+attempt_outcome end_of(http::call_failure why)
 {
     switch (why)
     {
     case http::call_failure::not_connected:
-        return attempt_end::unreachable;
+        return attempt_outcome::unreachable;
     case http::call_failure::no_answer:
-        return attempt_end::unknown;
+        return attempt_outcome::unknown;
     case http::call_failure::cut_answer:
-        return attempt_end::broken;
+        return attempt_outcome::truncated;
     }
-    return attempt_end::unknown;
+    return attempt_outcome::unknown;
 }
 
-scheduling::attempt_result result_of(attempt_end how)
+scheduling::attempt_result result_of(attempt_outcome how)
 {
     switch (how)
     {
-    case attempt_end::answered:
+    case attempt_outcome::answered:
         return scheduling::attempt_result::done;
-    case attempt_end::refused:
+    case attempt_outcome::refused:
         return scheduling::attempt_result::overloaded;
-    case attempt_end::other_instance:
+    case attempt_outcome::other_instance:
         return scheduling::attempt_result::refused;
-    case attempt_end::unreachable:
+    case attempt_outcome::unreachable:
         return scheduling::attempt_result::unreachable;
-    case attempt_end::upstream_error:
-    case attempt_end::unknown:
-    case attempt_end::broken:
+    case attempt_outcome::upstream_error:
+    case attempt_outcome::unknown:
+    case attempt_outcome::truncated:
         return scheduling::attempt_result::failed;
     }
     return scheduling::attempt_result::failed;
@@ -60,7 +60,7 @@
 {
     ticket_.reset();
     const auto now = core_.now();
-    const auto id = place.where.id;
+    const auto id = place.target.id;
     core_.board.begin(id, place.load);
     if (service_->engine)
     {
@@ -69,9 +69,9 @@
             core_.shares.count_served(account_, tokens(), now);
             counted_ = true;
         }
-        core_.placer.note_sent(id, facts_.parts, now);
+        core_.placer.record_sent(id, facts_.parts, now);
     }
-    core_.cold.note_sent(place.where, now);
+    core_.cold.record_sent(place.target, now);
     tried_.push_back(id);
     ++sent_;
     attempt_ = std::make_shared<attempt>();
@@ -85,13 +85,13 @@
                         .time_left = time_left(),
                         .workspace = workspace_ ? std::optional(workspace_->id) : std::nullopt,
                         .resume_after = begun_ ? last_event_ : std::nullopt};
-    const auto& source = attempt_->place.source;
+    const auto& source = attempt_->place.cache_source;
     if (source)
     {
         terms.fetch_from = source->address;
     }
     auto message = core_.protocol.forward(request_->head(), request_->body(), terms);
-    attempt_->connection->call(attempt_->place.where.address, std::move(message),
+    attempt_->connection->call(attempt_->place.target.address, std::move(message),
                                request_->head().method() == http::verb::head, events_of(attempt_),
                                [this](const http::response_head& head)
                                {
@@ -137,7 +137,7 @@
         of.body += part;
         return;
     }
-    attempt_ended(attempt_end::broken);
+    attempt_ended(attempt_outcome::truncated);
 }
 
 void request_session::relay_events(attempt& of)
@@ -165,10 +165,10 @@
     if (!of.prompt_read)
     {
         of.prompt_read = true;
-        core_.board.prompt_read(of.place.where.id, of.place.load.unread_tokens);
-        core_.pace.note(of.place.where.id, of.place.ahead,
-                        static_cast<std::uint32_t>(of.place.load.unread_tokens),
-                        core_.now() - of.sent, core_.now());
+        core_.board.prompt_read(of.place.target.id, of.place.load.unread_tokens);
+        core_.pace.record_prefill(of.place.target.id, of.place.queued_tokens,
+                                  static_cast<std::uint32_t>(of.place.load.unread_tokens),
+                                  core_.now() - of.sent, core_.now());
         of.place.load.unread_tokens = 0;
     }
     begin_answer(of);
@@ -200,32 +200,32 @@
 
 void request_session::on_end(attempt& of)
 {
-    core_.pool.give_back(of.place.where.id, std::move(of.connection));
+    core_.pool.give_back(of.place.target.id, std::move(of.connection));
     const auto code = of.head->result_int();
     const bool encoded = of.head->find(http::field::content_encoding) != of.head->end();
     if (code == 421 && (of.facts.other_instance || of.facts.not_run))
     {
-        attempt_ended(attempt_end::other_instance);
+        attempt_ended(attempt_outcome::other_instance);
     }
     else if (of.facts.not_run)
     {
-        attempt_ended(attempt_end::refused);
+        attempt_ended(attempt_outcome::refused);
     }
     else if (!of.facts.genuine || encoded)
     {
-        attempt_ended(attempt_end::unknown);
+        attempt_ended(attempt_outcome::unknown);
     }
     else if (code >= 500)
     {
-        attempt_ended(attempt_end::upstream_error);
+        attempt_ended(attempt_outcome::upstream_error);
     }
     else if (of.streams && of.events.has_rest())
     {
-        attempt_ended(attempt_end::broken);
+        attempt_ended(attempt_outcome::truncated);
     }
     else
     {
-        attempt_ended(attempt_end::answered);
+        attempt_ended(attempt_outcome::answered);
     }
 }
 
@@ -233,11 +233,11 @@
 {
     if (why == http::call_failure::not_connected)
     {
-        core_.note_unreachable(of.place.where.id);
+        core_.note_unreachable(of.place.target.id);
     }
     else
     {
-        core_.note_lost(of.place.where.id, fingerprint());
+        core_.note_lost(of.place.target.id, fingerprint());
     }
     attempt_ended(end_of(why));
 }
@@ -259,28 +259,28 @@
     on_failed(*of, of->head ? http::call_failure::cut_answer : http::call_failure::no_answer);
 }
 
-void request_session::attempt_ended(attempt_end how)
+void request_session::attempt_ended(attempt_outcome how)
 {
     const auto last = attempt_;
     if (last)
     {
-        const auto& id = last->place.where.id;
+        const auto& id = last->place.target.id;
         core_.note_attempt(id, service_->id, result_of(how));
         release_attempt();
         give_back_share(how);
-        if (how == attempt_end::other_instance)
+        if (how == attempt_outcome::other_instance)
         {
             core_.directory.forget(id);
             core_.pool.close_all(id);
         }
     }
-    if (how == attempt_end::unreachable && last)
+    if (how == attempt_outcome::unreachable && last)
     {
         --sent_;
         ++unreachable_;
     }
-    const bool possible = how == attempt_end::unknown || how == attempt_end::broken ||
-                          how == attempt_end::upstream_error;
+    const bool possible = how == attempt_outcome::unknown || how == attempt_outcome::truncated ||
+                          how == attempt_outcome::upstream_error;
     may_have_run_ = may_have_run_ || possible;
     routing::attempt_state state{.idempotent = is_idempotent(),
                                  .resumable = route_->resumable,
@@ -289,20 +289,20 @@
                                  .max_sent = route_->max_attempts,
                                  .unreachable = unreachable_,
                                  .may_have_run = may_have_run_,
-                                 .time_left = last && time_left() > least_time};
+                                 .has_time_left = last && time_left() > least_time};
     auto step = routing::decide(how, state);
-    const bool repeats = step == next_step::try_again || step == next_step::resume;
-    if (repeats && how != attempt_end::unreachable &&
-        !core_.retries.take_repeat(service_->id, core_.now()))
+    const bool repeats = step == next_step::retry || step == next_step::resume;
+    if (repeats && how != attempt_outcome::unreachable &&
+        !core_.retries.take_retry(service_->id, core_.now()))
     {
         state.max_sent = state.sent;
         step = routing::decide(how, state);
     }
-    if (how != attempt_end::answered && last)
+    if (how != attempt_outcome::answered && last)
     {
         core_.log.request_line("attempt",
                                {{"request", facts_.id.str()},
-                                {"upstream", last->place.where.id.str()},
+                                {"upstream", last->place.target.id.str()},
                                 {"end", routing::name(how)},
                                 {"status", last->head ? last->head->result_int() : 0},
                                 {"took_ms", milliseconds_of(core_.now() - last->sent).count()},
@@ -313,7 +313,7 @@
     case next_step::deliver:
         deliver(*last);
         break;
-    case next_step::try_again:
+    case next_step::retry:
     case next_step::resume:
         look_for_place();
         break;
@@ -323,7 +323,7 @@
     case next_step::give_up:
         answer(http::status::bad_gateway, routing::name(how));
         break;
-    case next_step::break_off:
+    case next_step::abort_answer:
         break_off(routing::name(how));
         break;
     }
@@ -333,9 +333,10 @@
 /// A share is what callers get. Upstreams that crash take a flooding workspace's requests with
 /// them, some ten thousand tokens each; counted as served, they kept that workspace from places for
 /// the window of shares while others got three times as much.
-void request_session::give_back_share(attempt_end how)
+void request_session::give_back_share(attempt_outcome how)
 {
-    const bool had_service = how == attempt_end::answered || how == attempt_end::upstream_error;
+    const bool had_service =
+        how == attempt_outcome::answered || how == attempt_outcome::upstream_error;
     if (!counted_ || had_service)
     {
         return;
@@ -353,8 +354,8 @@
     const auto last = std::move(attempt_);
     attempt_.reset();
     core_.timers.cancel(last->silence_timer);
-    core_.leave_upstream(last->place.where.id, *this);
-    core_.board.end(last->place.where.id, last->place.load);
+    core_.leave_upstream(last->place.target.id, *this);
+    core_.board.end(last->place.target.id, last->place.load);
     // A call that ended well has given its connection back; any other may still bring bytes.
     if (last->connection)
     {
--- a/src/libcaraway/router/request_end.cpp
+++ b/src/libcaraway/router/request_end.cpp
@@ -49,7 +49,7 @@
     }
     if (core_.crashes.has_suspects())
     {
-        core_.crashes.completed(fingerprint(), core_.now());
+        core_.crashes.record_completed(fingerprint(), core_.now());
     }
     end("answered", of.head->result_int(), "");
 }
@@ -183,9 +183,9 @@
         line["wait_ms"] = sent_by_->wait.count();
         line["unread"] = sent_by_->load.unread_tokens;
         line["running"] = sent_by_->running;
-        if (sent_by_->source)
+        if (sent_by_->cache_source)
         {
-            line["fetched_from"] = sent_by_->source->id.str();
+            line["fetched_from"] = sent_by_->cache_source->id.str();
         }
     }
     if (begun_)
--- a/src/libcaraway/router/request_session.cpp
+++ b/src/libcaraway/router/request_session.cpp
@@ -106,7 +106,7 @@
 
 void request_session::count_arrival()
 {
-    core_.retries.count_request(service_->id, core_.now());
+    core_.retries.record_request(service_->id, core_.now());
     if (!service_->engine)
     {
         return;
@@ -206,20 +206,21 @@
         return std::nullopt;
     }
     const auto now = core_.now();
-    const auto passed_over = core_.cold.passed_over();
-    const routing::placement_request request{.of = service_,
+    const auto passed_over = core_.cold.skip_count();
+    const routing::placement_request request{.requested_service = service_,
                                              .prompt_tokens = facts_.prompt_tokens,
                                              .output_tokens = expected_output(),
                                              .parts = &facts_.parts,
                                              .tried = tried_,
-                                             .longest_wait = terms.longest_wait,
+                                             .max_wait = terms.longest_wait,
                                              .slot_share = terms.slot_share,
-                                             .cold = core_.cold.any() ? &core_.cold : nullptr,
-                                             .draw = core_.draw(),
-                                             .most_repeated = terms.most_repeated};
+                                             .cold_upstreams =
+                                                 core_.cold.any_cold() ? &core_.cold : nullptr,
+                                             .random_unit = core_.draw(),
+                                             .max_repeated_tokens = terms.most_repeated};
     auto found =
         core_.placer.choose(request, core_.directory, core_.board, core_.health, core_.pace, now);
-    cold_passed_over_ = !found && core_.cold.passed_over() != passed_over;
+    cold_passed_over_ = !found && core_.cold.skip_count() != passed_over;
     return found;
 }
 
@@ -255,7 +256,7 @@
         // An upstream that says nothing until the time is over is not known to be well.
         if (!attempt_->head)
         {
-            core_.note_attempt(attempt_->place.where.id, service_->id,
+            core_.note_attempt(attempt_->place.target.id, service_->id,
                                scheduling::attempt_result::failed);
         }
         release_attempt();
--- a/src/libcaraway/router/request_session.hpp
+++ b/src/libcaraway/router/request_session.hpp
@@ -60,9 +60,9 @@
     void begin_answer(const attempt& of);
     void note_pause();
 
-    void attempt_ended(routing::attempt_end how);
+    void attempt_ended(routing::attempt_outcome how);
     void release_attempt();
-    void give_back_share(routing::attempt_end how);
+    void give_back_share(routing::attempt_outcome how);
     std::optional<routing::placement> find_place();
     void deliver(const attempt& of);
     void refuse(std::string_view reason);
--- a/src/libcaraway/router/request_silence.cpp
+++ b/src/libcaraway/router/request_silence.cpp
@@ -56,14 +56,14 @@
         return;
     }
     auto place = time_left() > least_time ? find_place() : std::nullopt;
-    if (!place || !core_.retries.take_repeat(service_->id, now))
+    if (!place || !core_.retries.take_retry(service_->id, now))
     {
         attempt_->last_sign = now;
         watch_silence(*attempt_);
         return;
     }
     const auto keep = shared_from_this();
-    const auto& id = attempt_->place.where.id;
+    const auto& id = attempt_->place.target.id;
     core_.log.request_line("attempt", {{"request", facts_.id.str()},
                                        {"upstream", id.str()},
                                        {"end", "silent"},
--- a/src/libcaraway/router/settings.hpp
+++ b/src/libcaraway/router/settings.hpp
@@ -2,7 +2,7 @@
 
 #include "libcaraway/base/error.hpp"
 #include "libcaraway/base/ids.hpp"
-#include "libcaraway/routing/retry_ledger.hpp"
+#include "libcaraway/routing/retry_budget.hpp"
 #include "libcaraway/routing/upstream_directory.hpp"
 
 #include <chrono>
@@ -31,7 +31,7 @@
     routing::endpoint store;
     /// Control addresses of some routers; they may be old.
     std::vector<routing::endpoint> seeds;
-    routing::retry_options retries;
+    routing::retry_budget_options retries;
     std::chrono::milliseconds share_window{4000};
     /// From SIGTERM to SIGKILL.
     std::chrono::milliseconds grace{8000};
--- a/src/libcaraway/routing/attempt_policy.cpp
+++ b/src/libcaraway/routing/attempt_policy.cpp
@@ -10,50 +10,50 @@
 /// upstreams, few enough to stay well inside what is on time.
 constexpr std::uint32_t max_unreachable = 3;
 
-next_step after_no_run(attempt_end end, const attempt_state& state)
+next_step after_no_run(attempt_outcome end, const attempt_state& state)
 {
-    const bool unsent = end == attempt_end::unreachable;
+    const bool unsent = end == attempt_outcome::unreachable;
     const bool allowed = unsent ? state.unreachable < max_unreachable : state.sent < state.max_sent;
-    if (state.time_left && allowed)
+    if (state.has_time_left && allowed)
     {
-        return state.partly_delivered ? next_step::resume : next_step::try_again;
+        return state.partly_delivered ? next_step::resume : next_step::retry;
     }
     if (state.partly_delivered)
     {
-        return next_step::break_off;
+        return next_step::abort_answer;
     }
     return state.may_have_run ? next_step::give_up : next_step::refuse;
 }
 
 next_step after_possible_run(const attempt_state& state)
 {
-    const bool allowed = state.time_left && state.sent < state.max_sent;
+    const bool allowed = state.has_time_left && state.sent < state.max_sent;
     if (state.partly_delivered)
     {
-        return allowed && state.resumable ? next_step::resume : next_step::break_off;
+        return allowed && state.resumable ? next_step::resume : next_step::abort_answer;
     }
-    return allowed && state.idempotent ? next_step::try_again : next_step::give_up;
+    return allowed && state.idempotent ? next_step::retry : next_step::give_up;
 }
 
 }  // namespace
 
-const char* name(attempt_end value)
+const char* name(attempt_outcome value)
 {
     switch (value)
     {
-    case attempt_end::answered:
+    case attempt_outcome::answered:
         return "answered";
-    case attempt_end::upstream_error:
+    case attempt_outcome::upstream_error:
         return "upstream_error";
-    case attempt_end::refused:
+    case attempt_outcome::refused:
         return "refused";
-    case attempt_end::other_instance:
+    case attempt_outcome::other_instance:
         return "other_instance";
-    case attempt_end::unreachable:
+    case attempt_outcome::unreachable:
         return "unreachable";
-    case attempt_end::unknown:
+    case attempt_outcome::unknown:
         return "unknown";
-    case attempt_end::broken:
+    case attempt_outcome::truncated:
         return "broken";
     }
     return "?";
@@ -65,7 +65,7 @@
     {
     case next_step::deliver:
         return "deliver";
-    case next_step::try_again:
+    case next_step::retry:
         return "try_again";
     case next_step::resume:
         return "resume";
@@ -73,32 +73,32 @@
         return "refuse";
     case next_step::give_up:
         return "give_up";
-    case next_step::break_off:
+    case next_step::abort_answer:
         return "break_off";
     }
     return "?";
 }
 
-next_step decide(attempt_end end, const attempt_state& state)
+next_step decide(attempt_outcome end, const attempt_state& state)
 {
     switch (end)
     {
-    case attempt_end::answered:
+    case attempt_outcome::answered:
         return next_step::deliver;
-    case attempt_end::upstream_error:
+    case attempt_outcome::upstream_error:
         if (state.partly_delivered)
         {
-            return next_step::break_off;
+            return next_step::abort_answer;
         }
-        return state.idempotent && state.time_left && state.sent < state.max_sent
-                   ? next_step::try_again
+        return state.idempotent && state.has_time_left && state.sent < state.max_sent
+                   ? next_step::retry
                    : next_step::deliver;
-    case attempt_end::refused:
-    case attempt_end::other_instance:
-    case attempt_end::unreachable:
+    case attempt_outcome::refused:
+    case attempt_outcome::other_instance:
+    case attempt_outcome::unreachable:
         return after_no_run(end, state);
-    case attempt_end::unknown:
-    case attempt_end::broken:
+    case attempt_outcome::unknown:
+    case attempt_outcome::truncated:
         return after_possible_run(state);
     }
     return next_step::give_up;
--- a/src/libcaraway/routing/attempt_policy.hpp
+++ b/src/libcaraway/routing/attempt_policy.hpp
@@ -6,7 +6,7 @@
 {
 
 /// How an attempt at an upstream ended, as far as is known.
-enum class attempt_end
+enum class attempt_outcome
 {
     answered,        ///< Its whole answer is here.
     upstream_error,  ///< Its whole answer is here, and says that it failed while it ran.
@@ -14,11 +14,11 @@
     other_instance,  ///< Another instance has the address; the request was not run.
     unreachable,     ///< No connection; nothing was sent.
     unknown,         ///< Sent, and no answer that belongs to it came; it may have run.
-    broken,          ///< The answer began and was cut off.
+    truncated,       ///< The answer began and was cut off.
 };
 
 /// The stable name, as in "other_instance".
-const char* name(attempt_end value);
+const char* name(attempt_outcome value);
 
 /// What the request may still do.
 struct attempt_state
@@ -37,17 +37,17 @@
     /// An earlier attempt may have run.
     bool may_have_run = false;
     /// The caller still waits long enough for another attempt.
-    bool time_left = true;
+    bool has_time_left = true;
 };
 
 enum class next_step
 {
-    deliver,    ///< Hand the answer to the caller.
-    try_again,  ///< Send the whole request to another upstream.
-    resume,     ///< Have another upstream go on with the stream.
-    refuse,     ///< Tell the caller that it was not run and when to come back.
-    give_up,    ///< Tell the caller that nobody knows whether it ran.
-    break_off,  ///< End the caller's connection, so that the answer doesn't look complete.
+    deliver,       ///< Hand the answer to the caller.
+    retry,         ///< Send the whole request to another upstream.
+    resume,        ///< Have another upstream go on with the stream.
+    refuse,        ///< Tell the caller that it was not run and when to come back.
+    give_up,       ///< Tell the caller that nobody knows whether it ran.
+    abort_answer,  ///< End the caller's connection, so that the answer doesn't look complete.
 };
 
 /// The stable name, as in "try_again".
@@ -58,6 +58,6 @@
 ///
 /// A refusal promises that the request has not run, so it is given only while no attempt may have
 /// run; a request that isn't idempotent is sent again only under the same condition.
-next_step decide(attempt_end end, const attempt_state& state);
+next_step decide(attempt_outcome end, const attempt_state& state);
 
 }  // namespace caraway::routing
--- /dev/null
+++ b/src/libcaraway/routing/crash_tracker.cpp
@@ -0,0 +1,66 @@
+#include "libcaraway/routing/crash_tracker.hpp"
+
+namespace caraway::routing
+{
+
+crash_tracker::crash_tracker(const crash_tracker_options& options)
+    : options_(options), detector_(options.detector), suspects_(options.suspects)
+{
+}
+
+bool crash_tracker::refuses(attempts::request_fingerprint request, base::time_point now) const
+{
+    return suspects_.verdict(request, now) == attempts::crash_verdict::refuse;
+}
+
+std::optional<attempts::upstream_crash>
+crash_tracker::record_lost(const base::upstream_id& upstream, attempts::request_fingerprint request,
+                           base::time_point now)
+{
+    detector_.started(upstream, request);
+    auto crash = detector_.connection_lost(upstream, request, now);
+    charge(crash, now);
+    return crash;
+}
+
+std::optional<attempts::upstream_crash>
+crash_tracker::record_unreachable(const base::upstream_id& upstream, base::time_point now)
+{
+    auto crash = detector_.unreachable(upstream, now);
+    charge(crash, now);
+    return crash;
+}
+
+std::optional<attempts::upstream_crash>
+crash_tracker::record_restarted(const base::upstream_id& upstream, base::time_point now)
+{
+    auto crash = record_unreachable(upstream, now);
+    detector_.healthy(upstream);
+    return crash;
+}
+
+void crash_tracker::record_completed(attempts::request_fingerprint request, base::time_point now)
+{
+    suspects_.completed(request, now);
+}
+
+std::vector<attempts::suspect_entry> crash_tracker::entries(base::time_point now) const
+{
+    return suspects_.entries(options_.told, now);
+}
+
+void crash_tracker::merge(const std::vector<attempts::suspect_entry>& others, base::time_point now)
+{
+    suspects_.merge(others, now);
+}
+
+void crash_tracker::charge(const std::optional<attempts::upstream_crash>& crash,
+                           base::time_point now)
+{
+    if (crash)
+    {
+        suspects_.crashed(crash->upstream, crash->in_flight, false, now);
+    }
+}
+
+}  // namespace caraway::routing
--- a/src/libcaraway/routing/crash_watch.hpp
+++ b/src/libcaraway/routing/crash_tracker.hpp
@@ -8,7 +8,7 @@
 namespace caraway::routing
 {
 
-struct crash_watch_options
+struct crash_tracker_options
 {
     /// Broken connections alone are no crash here: upstreams reset single answers, and refuse
     /// connections beyond their limit, while they live. A new connection that is refused soon after
@@ -32,10 +32,10 @@
 ///
 /// Suspects run like others until they are refused: keeping all that ran beside a crash in
 /// quarantine would hold up some thirty requests for each that is to blame.
-class crash_watch
+class crash_tracker
 {
 public:
-    explicit crash_watch(const crash_watch_options& options = {});
+    explicit crash_tracker(const crash_tracker_options& options = {});
 
     /// Whether any request is under suspicion; else none needs a fingerprint.
     bool has_suspects() const
@@ -46,18 +46,18 @@
 
     /// The connection to the upstream ended before the whole answer came. The crash, if this is
     /// known to be one.
-    std::optional<attempts::upstream_crash> lost(const base::upstream_id& upstream,
-                                                 attempts::request_fingerprint request,
-                                                 base::time_point now);
-    /// A new connection was refused or not made.
-    std::optional<attempts::upstream_crash> unreachable(const base::upstream_id& upstream,
+    std::optional<attempts::upstream_crash> record_lost(const base::upstream_id& upstream,
+                                                        attempts::request_fingerprint request,
                                                         base::time_point now);
+    /// A new connection was refused or not made.
+    std::optional<attempts::upstream_crash> record_unreachable(const base::upstream_id& upstream,
+                                                               base::time_point now);
     /// Another process runs under its id. With connections lost there shortly before, the one
     /// before crashed; what comes after says nothing of it.
-    std::optional<attempts::upstream_crash> restarted(const base::upstream_id& upstream,
-                                                      base::time_point now);
+    std::optional<attempts::upstream_crash> record_restarted(const base::upstream_id& upstream,
+                                                             base::time_point now);
     /// A request had its whole answer.
-    void completed(attempts::request_fingerprint request, base::time_point now);
+    void record_completed(attempts::request_fingerprint request, base::time_point now);
 
     /// What the other routers are told, and what they told.
     std::vector<attempts::suspect_entry> entries(base::time_point now) const;
@@ -66,7 +66,7 @@
 private:
     void charge(const std::optional<attempts::upstream_crash>& crash, base::time_point now);
 
-    crash_watch_options options_;
+    crash_tracker_options options_;
     attempts::crash_detector detector_;
     attempts::crash_suspects suspects_;
 };
--- a/src/libcaraway/routing/digest.cpp
+++ b/src/libcaraway/routing/digest.cpp
@@ -116,7 +116,7 @@
     return marks;
 }
 
-json readings_json(const reading_records& readings)
+json readings_json(const prefill_records& readings)
 {
     auto out = json::array();
     for (const auto& [id, seen] : readings)
@@ -126,9 +126,9 @@
     return out;
 }
 
-reading_records readings_of(const json& from)
+prefill_records readings_of(const json& from)
 {
-    reading_records readings;
+    prefill_records readings;
     for (const auto& each : from)
     {
         readings[base::upstream_id(each.at(0).get<std::string>())] = {
--- a/src/libcaraway/routing/digest.hpp
+++ b/src/libcaraway/routing/digest.hpp
@@ -4,7 +4,7 @@
 #include "libcaraway/base/error.hpp"
 #include "libcaraway/base/units.hpp"
 #include "libcaraway/routing/load_board.hpp"
-#include "libcaraway/routing/reading_pace.hpp"
+#include "libcaraway/routing/prefill_pace.hpp"
 #include "libcaraway/routing/refused_requests.hpp"
 #include "libcaraway/routing/table_relay.hpp"
 #include "libcaraway/routing/upstream_directory.hpp"
@@ -46,7 +46,7 @@
     /// Requests that the sender refused just now.
     std::vector<request_mark> refused;
     /// What the sender saw of the engines' reading; empty in most digests, as it changes slowly.
-    reading_records readings;
+    prefill_records readings;
     /// Upstreams that take no new requests, as the sender knows: told with each digest, as a busy
     /// router takes a second longer to ask for a whole copy.
     std::vector<leaving_upstream> leaving;
--- a/src/libcaraway/routing/peer_table.cpp
+++ b/src/libcaraway/routing/peer_table.cpp
@@ -260,7 +260,7 @@
             out.peers.push_back(id);
         }
     }
-    out.cut_off = heard * 2 < peers_.size();
+    out.isolated = heard * 2 < peers_.size();
     return out;
 }
 
--- a/src/libcaraway/routing/placer.cpp
+++ b/src/libcaraway/routing/placer.cpp
@@ -109,7 +109,7 @@
 std::chrono::milliseconds wait_of(const placement_request& request, const upstream_load& total,
                                   double ms_per_token)
 {
-    if (!request.of->engine)
+    if (!request.requested_service->engine)
     {
         return {};
     }
@@ -125,16 +125,17 @@
                                         const upstream_directory& directory,
                                         const load_board& board,
                                         const scheduling::upstream_health& health,
-                                        const reading_pace& pace, base::time_point now)
+                                        const prefill_pace& pace, base::time_point now)
 {
     const search within{.request = request,
-                        .candidates = directory.usable(request.of->id),
+                        .candidates = directory.usable(request.requested_service->id),
                         .board = board,
                         .health = health,
                         .pace = pace,
                         .now = now,
-                        .homes = homes_for(directory.usable(request.of->id),
-                                           request.of->engine ? request.parts : nullptr),
+                        .homes =
+                            homes_for(directory.usable(request.requested_service->id),
+                                      request.requested_service->engine ? request.parts : nullptr),
                         .shared = shared_tokens(request),
                         .room = room_for(request)};
     const auto best = cheapest(within);
@@ -148,7 +149,7 @@
     if (const auto* source =
             source_for(*best, home, request, within.shared - best->cached, health, now))
     {
-        out.source = *source;
+        out.cache_source = *source;
     }
     return out;
 }
@@ -171,7 +172,7 @@
             consider(within, within.homes.second, found);
         }
         const auto first =
-            static_cast<std::size_t>(within.request.draw * static_cast<double>(count));
+            static_cast<std::size_t>(within.request.random_unit * static_cast<double>(count));
         for (std::size_t each = 0; each < options_.drawn; ++each)
         {
             consider(within, (first + each) % count, found);
@@ -189,7 +190,7 @@
 {
     const auto& request = within.request;
     const auto& where = *within.candidates[index];
-    candidate each{.where = &where, .total = within.board.total(where.id)};
+    candidate each{.target = &where, .total = within.board.total(where.id)};
     // What most often rules one out comes first: with hundreds of engines, most of them full, a
     // request that finds no place costs a small VM more than one that is served.
     if (!has_room(where, request, within.room, each.total) || was_tried(request, where.id) ||
@@ -197,20 +198,20 @@
     {
         return;
     }
-    if (request.cold != nullptr && !request.cold->may_send(where, within.now))
+    if (request.cold_upstreams != nullptr && !request.cold_upstreams->may_send(where, within.now))
     {
         return;
     }
     each.ms_per_token = within.pace.ms_per_token(where.id);
     each.wait = wait_of(request, each.total, each.ms_per_token);
-    if (each.total.running > 0 && each.wait > request.longest_wait)
+    if (each.total.running > 0 && each.wait > request.max_wait)
     {
         return;
     }
     const auto& homes = within.homes;
     each.cached = cached_tokens(where.id, request, homes.shared, homes.depth(index), within.now);
     const bool second_home = homes.second == index;
-    if (within.shared - each.cached > request.most_repeated && !second_home)
+    if (within.shared - each.cached > request.max_repeated_tokens && !second_home)
     {
         return;
     }
@@ -228,10 +229,13 @@
                                    const scheduling::upstream_health& health,
                                    base::time_point now) const
 {
-    const bool may_hold = home != nullptr && home != chosen.where &&
-                          !was_tried(request, home->id) && !health.ejected(home->id, now) &&
-                          (request.cold == nullptr || !request.cold->is_cold(home->id, now));
-    const auto transfer = request.of->engine ? request.of->engine->transfer_per_token.count() : 0;
+    const bool may_hold =
+        home != nullptr && home != chosen.target && !was_tried(request, home->id) &&
+        !health.ejected(home->id, now) &&
+        (request.cold_upstreams == nullptr || !request.cold_upstreams->is_cold(home->id, now));
+    const auto transfer = request.requested_service->engine
+                              ? request.requested_service->engine->transfer_per_token.count()
+                              : 0;
     if (!may_hold || transfer <= 0)
     {
         return nullptr;
@@ -240,8 +244,8 @@
     return gain > static_cast<double>(options_.least_gain.count()) ? home : nullptr;
 }
 
-void placer::note_sent(const base::upstream_id& id, const std::vector<prompt_part>& parts,
-                       base::time_point now)
+void placer::record_sent(const base::upstream_id& id, const std::vector<prompt_part>& parts,
+                         base::time_point now)
 {
     auto& known = read_[id];
     if (known.size() > max_parts)
@@ -280,11 +284,11 @@
 
 placer::engine_room placer::room_for(const placement_request& request) const
 {
-    if (!request.of->engine)
+    if (!request.requested_service->engine)
     {
         return {};
     }
-    const auto& engine = *request.of->engine;
+    const auto& engine = *request.requested_service->engine;
     return {.places = std::max(1.0, std::floor(request.slot_share * engine.slots)),
             .tokens = static_cast<std::uint64_t>(options_.memory_share *
                                                  static_cast<double>(engine.kv_tokens))};
@@ -293,7 +297,7 @@
 bool placer::has_room(const upstream& where, const placement_request& request,
                       const engine_room& room, const upstream_load& total) const
 {
-    if (!request.of->engine)
+    if (!request.requested_service->engine)
     {
         return total.running < static_cast<std::uint32_t>(options_.plain_depth * where.slots);
     }
@@ -304,10 +308,10 @@
 
 double placer::cost(const candidate& of, const placement_request& request) const
 {
-    const auto& where = *of.where;
+    const auto& where = *of.target;
     const double distance =
         where.zone == options_.zone ? 0 : static_cast<double>(options_.other_zone.count());
-    if (!request.of->engine)
+    if (!request.requested_service->engine)
     {
         const double waiting = static_cast<double>(of.total.running) / std::max(1U, where.slots);
         return distance + waiting * static_cast<double>(options_.plain_call.count());
@@ -322,16 +326,16 @@
 
 placement placer::placed_at(const candidate& of, const placement_request& request) const
 {
-    if (!request.of->engine)
+    if (!request.requested_service->engine)
     {
-        return {.where = *of.where, .load = {.running = 1}, .running = of.total.running};
+        return {.target = *of.target, .load = {.running = 1}, .running = of.total.running};
     }
-    return {.where = *of.where,
+    return {.target = *of.target,
             .load = {.running = 1,
                      .unread_tokens = unread_tokens(request, of.cached),
                      .held_tokens = needed_tokens(request)},
             .wait = of.wait,
-            .ahead = of.total.unread_tokens,
+            .queued_tokens = of.total.unread_tokens,
             .running = of.total.running};
 }
 
--- a/src/libcaraway/routing/placer.hpp
+++ b/src/libcaraway/routing/placer.hpp
@@ -2,7 +2,7 @@
 
 #include "libcaraway/routing/configuration.hpp"
 #include "libcaraway/routing/load_board.hpp"
-#include "libcaraway/routing/reading_pace.hpp"
+#include "libcaraway/routing/prefill_pace.hpp"
 #include "libcaraway/routing/slow_start.hpp"
 #include "libcaraway/routing/upstream_directory.hpp"
 #include "libcaraway/scheduling/upstream_health.hpp"
@@ -50,35 +50,35 @@
 /// A request that looks for an upstream.
 struct placement_request
 {
-    const service* of = nullptr;
+    const service* requested_service = nullptr;
     std::uint32_t prompt_tokens = 0;
     std::uint32_t output_tokens = 0;
     const std::vector<prompt_part>* parts = nullptr;
     /// Upstreams that this request has been sent to.
     std::vector<base::upstream_id> tried;
     /// The longest wait behind other prompts that is accepted at an engine.
-    std::chrono::milliseconds longest_wait{300};
+    std::chrono::milliseconds max_wait{300};
     /// Part of an engine's slots that it may use: below 1 for work that should give way.
     double slot_share = 1;
     /// Which upstreams are cold; absent: none is.
-    slow_start* cold = nullptr;
+    slow_start* cold_upstreams = nullptr;
     /// Uniform in [0, 1): which upstreams it is compared with where there are too many.
-    double draw = 0;
+    double random_unit = 0;
     /// Tokens of shared parts that may be read anew for it.
-    std::uint32_t most_repeated = std::numeric_limits<std::uint32_t>::max();
+    std::uint32_t max_repeated_tokens = std::numeric_limits<std::uint32_t>::max();
 };
 
 struct placement
 {
-    upstream where;
+    upstream target;
     /// What the request adds there.
     upstream_load load;
     /// The engine that hands on the shared parts of the prompt which this one lacks.
-    std::optional<upstream> source;
+    std::optional<upstream> cache_source;
     /// Wait behind the prompts that are before it.
     std::chrono::milliseconds wait{};
     /// Prompt tokens before it.
-    std::uint64_t ahead = 0;
+    std::uint64_t queued_tokens = 0;
     /// Requests believed to run there before it.
     std::uint32_t running = 0;
 };
@@ -123,10 +123,10 @@
     std::optional<placement> choose(const placement_request& request,
                                     const upstream_directory& directory, const load_board& board,
                                     const scheduling::upstream_health& health,
-                                    const reading_pace& pace, base::time_point now);
+                                    const prefill_pace& pace, base::time_point now);
     /// The request went there: its shared parts will be in that cache.
-    void note_sent(const base::upstream_id& id, const std::vector<prompt_part>& parts,
-                   base::time_point now);
+    void record_sent(const base::upstream_id& id, const std::vector<prompt_part>& parts,
+                     base::time_point now);
     /// Its cache is empty: another process runs there.
     void forget(const base::upstream_id& id)
     {
@@ -137,7 +137,7 @@
     /// An upstream that has room, and what the request meets there.
     struct candidate
     {
-        const upstream* where = nullptr;
+        const upstream* target = nullptr;
         upstream_load total;
         double ms_per_token = 0;
         /// Wait behind the prompts that are before it.
@@ -166,7 +166,7 @@
         const std::vector<const upstream*>& candidates;
         const load_board& board;
         const scheduling::upstream_health& health;
-        const reading_pace& pace;
+        const prefill_pace& pace;
         base::time_point now;
         prompt_homes homes;
         std::uint32_t shared = 0;
--- a/src/libcaraway/routing/reading_pace.cpp
+++ b/src/libcaraway/routing/prefill_pace.cpp
@@ -1,4 +1,4 @@
-#include "libcaraway/routing/reading_pace.hpp"
+#include "libcaraway/routing/prefill_pace.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -12,7 +12,7 @@
 /// Weights below this are dropped, and with them what is known of upstreams that ended.
 constexpr double least_weight_tokens = 50;
 
-void add(reading_record& to, const reading_record& what)
+void add(prefill_record& to, const prefill_record& what)
 {
     to.milliseconds += what.milliseconds;
     to.tokens += what.tokens;
@@ -20,10 +20,10 @@
 
 }  // namespace
 
-reading_pace::reading_pace(reading_options options) : options_(options) {}
+prefill_pace::prefill_pace(prefill_pace_options options) : options_(options) {}
 
-void reading_pace::note(const base::upstream_id& id, std::uint64_t ahead, std::uint32_t tokens,
-                        base::duration took, base::time_point now)
+void prefill_pace::record_prefill(const base::upstream_id& id, std::uint64_t ahead,
+                                  std::uint32_t tokens, base::duration took, base::time_point now)
 {
     const auto all = static_cast<double>(ahead + tokens);
     if (tokens < options_.least_tokens || static_cast<double>(ahead) > options_.most_ahead * all)
@@ -38,15 +38,15 @@
         {.milliseconds = std::clamp(reading, 0.0, options_.most_times * expected), .tokens = all});
 }
 
-void reading_pace::set_peer(const base::node_id& peer, reading_records records,
+void prefill_pace::set_peer(const base::node_id& peer, prefill_records records,
                             base::time_point now)
 {
     peers_[peer] = {.records = std::move(records), .heard = now};
 }
 
-reading_records reading_pace::own(base::time_point now)
+prefill_records prefill_pace::own_records(base::time_point now)
 {
-    reading_records out;
+    prefill_records out;
     for (auto each = own_.begin(); each != own_.end();)
     {
         age(each->second, now);
@@ -61,11 +61,11 @@
     return out;
 }
 
-void reading_pace::refresh(base::time_point now)
+void prefill_pace::refresh(base::time_point now)
 {
     std::erase_if(peers_, [&](const auto& each)
                   { return each.second.heard + options_.peer_lifetime <= now; });
-    auto total = own(now);
+    auto total = own_records(now);
     for (const auto& [peer, known] : peers_)
     {
         for (const auto& [id, seen] : known.records)
@@ -87,18 +87,18 @@
     }
 }
 
-double reading_pace::usual_pace() const
+double prefill_pace::usual_pace() const
 {
     return all_.tokens > 0 ? all_.milliseconds / all_.tokens : options_.first_ms_per_token;
 }
 
-double reading_pace::ms_per_token(const base::upstream_id& id) const
+double prefill_pace::ms_per_token(const base::upstream_id& id) const
 {
     const auto found = paces_.find(id);
     return found == paces_.end() ? usual_pace() : found->second;
 }
 
-void reading_pace::age(aging_record& of, base::time_point now) const
+void prefill_pace::age(aging_record& of, base::time_point now) const
 {
     const double halves = std::chrono::duration<double>(now - of.at) /
                           std::chrono::duration<double>(options_.half_life);
--- a/src/libcaraway/routing/reading_pace.hpp
+++ b/src/libcaraway/routing/prefill_pace.hpp
@@ -11,15 +11,15 @@
 {
 
 /// What was seen of one engine's reading of prompts, newer weighing more.
-struct reading_record
+struct prefill_record
 {
     double milliseconds = 0;
     double tokens = 0;
 };
 
-using reading_records = std::map<base::upstream_id, reading_record>;
+using prefill_records = std::map<base::upstream_id, prefill_record>;
 
-struct reading_options
+struct prefill_pace_options
 {
     /// Before anything was seen: a prompt of thousands of tokens beside a batch. It is forgotten
     /// within seconds.
@@ -46,17 +46,17 @@
 /// How fast each engine reads prompts, learned from the time to first events here and at the other
 /// routers. Engines of one service differ by half and some slow down; taken for alike, the slow
 /// ones get as much as the others, and what runs there waits and is held up.
-class reading_pace
+class prefill_pace
 {
 public:
-    explicit reading_pace(reading_options options = {});
+    explicit prefill_pace(prefill_pace_options options = {});
 
     /// A prompt of `tokens`, behind `ahead` others, showed its first event after `took`.
-    void note(const base::upstream_id& id, std::uint64_t ahead, std::uint32_t tokens,
-              base::duration took, base::time_point now);
-    void set_peer(const base::node_id& peer, reading_records records, base::time_point now);
+    void record_prefill(const base::upstream_id& id, std::uint64_t ahead, std::uint32_t tokens,
+                        base::duration took, base::time_point now);
+    void set_peer(const base::node_id& peer, prefill_records records, base::time_point now);
     /// This router's, for its digest.
-    reading_records own(base::time_point now);
+    prefill_records own_records(base::time_point now);
     /// Adds up what all routers have seen; called at times, as it goes through all records.
     void refresh(base::time_point now);
 
@@ -65,22 +65,22 @@
 private:
     struct aging_record
     {
-        reading_record seen;
+        prefill_record seen;
         base::time_point at{};
     };
     struct peer_records
     {
-        reading_records records;
+        prefill_records records;
         base::time_point heard{};
     };
 
     void age(aging_record& of, base::time_point now) const;
     double usual_pace() const;
 
-    reading_options options_;
+    prefill_pace_options options_;
     std::map<base::upstream_id, aging_record> own_;
     std::map<base::node_id, peer_records> peers_;
-    reading_record all_;
+    prefill_record all_;
     /// Milliseconds for a token, of the engines of which something was seen.
     std::unordered_map<base::upstream_id, double> paces_;
 };
--- a/src/libcaraway/routing/retry_ledger.cpp
+++ b/src/libcaraway/routing/retry_budget.cpp
@@ -1,27 +1,27 @@
-#include "libcaraway/routing/retry_ledger.hpp"
+#include "libcaraway/routing/retry_budget.hpp"
 
 #include <algorithm>
 
 namespace caraway::routing
 {
 
-retry_ledger::retry_ledger(retry_options options) : options_(options) {}
+retry_budget::retry_budget(retry_budget_options options) : options_(options) {}
 
-void retry_ledger::set_routers(std::size_t count)
+void retry_budget::set_router_count(std::size_t count)
 {
     routers_ = std::max(routers_, count);
 }
 
-void retry_ledger::count_request(const base::service_id& service, base::time_point now)
+void retry_budget::record_request(const base::service_id& service, base::time_point now)
 {
     auto& of = services_[service];
     drop_old(of, now);
     of.requests.push_back(now);
 }
 
-bool retry_ledger::take_repeat(const base::service_id& service, base::time_point now)
+bool retry_budget::take_retry(const base::service_id& service, base::time_point now)
 {
-    if (left(service, now) < 1)
+    if (remaining(service, now) < 1)
     {
         return false;
     }
@@ -29,16 +29,16 @@
     return true;
 }
 
-double retry_ledger::left(const base::service_id& service, base::time_point now)
+double retry_budget::remaining(const base::service_id& service, base::time_point now)
 {
     auto& of = services_[service];
     drop_old(of, now);
     const double allowed = options_.ratio * static_cast<double>(of.requests.size()) +
                            options_.slack / static_cast<double>(routers_);
-    return allowed * options_.spend - static_cast<double>(of.repeats.size());
+    return allowed * options_.usable_share - static_cast<double>(of.repeats.size());
 }
 
-void retry_ledger::drop_old(counts& of, base::time_point now) const
+void retry_budget::drop_old(counts& of, base::time_point now) const
 {
     const auto drop = [&](std::deque<base::time_point>& times)
     {
--- a/src/libcaraway/routing/slow_start.cpp
+++ b/src/libcaraway/routing/slow_start.cpp
@@ -22,21 +22,21 @@
 {
 }
 
-void slow_start::set_terms(std::map<base::service_id, warmup_terms> terms)
+void slow_start::set_limits(std::map<base::service_id, warmup_limits> limits)
 {
-    terms_ = std::move(terms);
+    limits_ = std::move(limits);
 }
 
-const warmup_terms& slow_start::terms_of(const base::service_id& service) const
+const warmup_limits& slow_start::limits_of(const base::service_id& service) const
 {
-    static const warmup_terms none;
-    const auto found = terms_.find(service);
-    return found == terms_.end() ? none : found->second;
+    static const warmup_limits none;
+    const auto found = limits_.find(service);
+    return found == limits_.end() ? none : found->second;
 }
 
 void slow_start::set_fleet(fleet_view fleet)
 {
-    if (fleet.cut_off == fleet_.cut_off && fleet.peers == fleet_.peers)
+    if (fleet.isolated == fleet_.isolated && fleet.peers == fleet_.peers)
     {
         return;
     }
@@ -44,8 +44,8 @@
     ++fleet_changes_;
 }
 
-bool slow_start::note_cold(const upstream& which, std::chrono::milliseconds left,
-                           base::time_point now)
+bool slow_start::record_cold(const upstream& which, std::chrono::milliseconds left,
+                             base::time_point now)
 {
     if (left.count() <= 0)
     {
@@ -66,8 +66,8 @@
 bool slow_start::may_send(const upstream& which, base::time_point now)
 {
     const auto found = cold_.find(which.id);
-    const bool limited =
-        found != cold_.end() && found->second.until > now && terms_of(which.service).rate > 0;
+    const bool limited = found != cold_.end() && found->second.until > now &&
+                         limits_of(which.service).requests_per_s > 0;
     if (!limited)
     {
         return true;
@@ -79,14 +79,14 @@
         known.as_of = fleet_changes_;
     }
     const bool may = known.sends && known.next <= now;
-    passed_over_ += may ? 0 : 1;
+    skip_count_ += may ? 0 : 1;
     return may;
 }
 
-void slow_start::note_sent(const upstream& which, base::time_point now)
+void slow_start::record_sent(const upstream& which, base::time_point now)
 {
     const auto found = cold_.find(which.id);
-    const auto rate = terms_of(which.service).rate;
+    const auto rate = limits_of(which.service).requests_per_s;
     if (found == cold_.end() || rate <= 0)
     {
         return;
@@ -114,7 +114,7 @@
 
 bool slow_start::is_sender(const upstream& which) const
 {
-    if (fleet_.cut_off)
+    if (fleet_.isolated)
     {
         return false;
     }
--- a/src/libcaraway/routing/slow_start.hpp
+++ b/src/libcaraway/routing/slow_start.hpp
@@ -12,12 +12,12 @@
 {
 
 /// What a cold upstream bears.
-struct warmup_terms
+struct warmup_limits
 {
     /// How long it is cold after its start.
-    std::chrono::milliseconds lasts{0};
+    std::chrono::milliseconds duration{0};
     /// Requests a second from all routers together.
-    double rate = 0;
+    double requests_per_s = 0;
 };
 
 struct slow_start_options
@@ -32,7 +32,7 @@
 {
     std::vector<base::node_id> peers;
     /// This router hears too few of them to know its place among them.
-    bool cut_off = false;
+    bool isolated = false;
 };
 
 /// Keeps requests away from upstreams that are cold: all routers together may send one no more than
@@ -44,14 +44,14 @@
 public:
     explicit slow_start(base::node_id self, slow_start_options options = {});
 
-    void set_terms(std::map<base::service_id, warmup_terms> terms);
-    const warmup_terms& terms_of(const base::service_id& service) const;
+    void set_limits(std::map<base::service_id, warmup_limits> limits);
+    const warmup_limits& limits_of(const base::service_id& service) const;
     void set_fleet(fleet_view fleet);
 
     /// It stays cold for so long. Whether it wasn't believed to be cold before.
-    bool note_cold(const upstream& which, std::chrono::milliseconds left, base::time_point now);
+    bool record_cold(const upstream& which, std::chrono::milliseconds left, base::time_point now);
     bool is_cold(const base::upstream_id& id, base::time_point now) const;
-    bool any() const
+    bool any_cold() const
     {
         return !cold_.empty();
     }
@@ -61,14 +61,14 @@
     }
     /// Whether this router may send it a request now; true for all that are warm.
     bool may_send(const upstream& which, base::time_point now);
-    void note_sent(const upstream& which, base::time_point now);
+    void record_sent(const upstream& which, base::time_point now);
     /// Those that are warm from now on.
     std::vector<base::upstream_id> expire(base::time_point now);
 
     /// Times that an upstream was passed over as it was cold, ever.
-    std::uint64_t passed_over() const
+    std::uint64_t skip_count() const
     {
-        return passed_over_;
+        return skip_count_;
     }
 
 private:
@@ -86,12 +86,12 @@
 
     base::node_id self_;
     slow_start_options options_;
-    std::map<base::service_id, warmup_terms> terms_;
+    std::map<base::service_id, warmup_limits> limits_;
     /// Knows nobody at first, and so sends to no cold upstream.
-    fleet_view fleet_{.cut_off = true};
+    fleet_view fleet_{.isolated = true};
     std::uint64_t fleet_changes_ = 1;
     std::map<base::upstream_id, cold_upstream> cold_;
-    std::uint64_t passed_over_ = 0;
+    std::uint64_t skip_count_ = 0;
 };
 
 }  // namespace caraway::routing
--- a/tests/routing/test_attempt_policy.cpp
+++ b/tests/routing/test_attempt_policy.cpp
@@ -9,10 +9,10 @@
 namespace
 {
 
-constexpr std::array all_ends{attempt_end::answered,    attempt_end::upstream_error,
-                              attempt_end::refused,     attempt_end::other_instance,
-                              attempt_end::unreachable, attempt_end::unknown,
-                              attempt_end::broken};
+constexpr std::array all_ends{attempt_outcome::answered,    attempt_outcome::upstream_error,
+                              attempt_outcome::refused,     attempt_outcome::other_instance,
+                              attempt_outcome::unreachable, attempt_outcome::unknown,
+                              attempt_outcome::truncated};
 
 /// All combinations of what a request may still do.
 template <class Check>
@@ -29,16 +29,16 @@
                                 .max_sent = 2,
                                 .unreachable = sent,
                                 .may_have_run = (bits & 8U) != 0,
-                                .time_left = (bits & 16U) != 0};
+                                .has_time_left = (bits & 16U) != 0};
             check(state);
         }
     }
 }
 
-bool tells_whether_it_ran(attempt_end end)
+bool tells_whether_it_ran(attempt_outcome end)
 {
-    return end == attempt_end::refused || end == attempt_end::other_instance ||
-           end == attempt_end::unreachable;
+    return end == attempt_outcome::refused || end == attempt_outcome::other_instance ||
+           end == attempt_outcome::unreachable;
 }
 
 }  // namespace
@@ -60,7 +60,7 @@
                     return;
                 }
                 const auto step = decide(end, state);
-                BOOST_TEST((step != next_step::try_again && step != next_step::resume));
+                BOOST_TEST((step != next_step::retry && step != next_step::resume));
             });
     }
 }
@@ -97,8 +97,8 @@
             {
                 state.partly_delivered = true;
                 const auto step = decide(end, state);
-                const bool right = step == next_step::break_off || step == next_step::resume ||
-                                   (step == next_step::deliver && end == attempt_end::answered);
+                const bool right = step == next_step::abort_answer || step == next_step::resume ||
+                                   (step == next_step::deliver && end == attempt_outcome::answered);
                 BOOST_TEST(right);
             });
     }
@@ -112,8 +112,8 @@
             [&](const attempt_state& state)
             {
                 const auto step = decide(end, state);
-                const bool again = step == next_step::try_again || step == next_step::resume;
-                if (again && end != attempt_end::unreachable)
+                const bool again = step == next_step::retry || step == next_step::resume;
+                if (again && end != attempt_outcome::unreachable)
                 {
                     BOOST_TEST(state.sent < state.max_sent);
                 }
@@ -125,15 +125,15 @@
 {
     const attempt_state state{.idempotent = true, .sent = 1, .max_sent = 2};
 
-    BOOST_TEST((decide(attempt_end::unknown, state) == next_step::try_again));
-    BOOST_TEST((decide(attempt_end::upstream_error, state) == next_step::try_again));
+    BOOST_TEST((decide(attempt_outcome::unknown, state) == next_step::retry));
+    BOOST_TEST((decide(attempt_outcome::upstream_error, state) == next_step::retry));
 }
 
 BOOST_AUTO_TEST_CASE(a_failure_of_the_upstream_is_delivered_when_nothing_is_left_to_try)
 {
     const attempt_state state{.idempotent = true, .sent = 2, .max_sent = 2};
 
-    BOOST_TEST((decide(attempt_end::upstream_error, state) == next_step::deliver));
+    BOOST_TEST((decide(attempt_outcome::upstream_error, state) == next_step::deliver));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/routing/test_crash_watch.cpp
+++ b/tests/routing/test_crash_tracker.cpp
@@ -1,4 +1,4 @@
-#include "libcaraway/routing/crash_watch.hpp"
+#include "libcaraway/routing/crash_tracker.hpp"
 #include "libcaraway/routing/digest.hpp"
 
 #include <boost/test/unit_test.hpp>
@@ -20,23 +20,23 @@
 }
 
 /// The process is gone: its connections break, and a new one is refused.
-void crash(crash_watch& at, int number, attempts::request_fingerprint request,
+void crash(crash_tracker& at, int number, attempts::request_fingerprint request,
            base::time_point now = start)
 {
-    at.lost(runner(number), request, now);
-    at.unreachable(runner(number), now + 50ms);
+    at.record_lost(runner(number), request, now);
+    at.record_unreachable(runner(number), now + 50ms);
 }
 
 }  // namespace
 
-BOOST_AUTO_TEST_SUITE(crash_watches)
+BOOST_AUTO_TEST_SUITE(crash_trackers)
 
 // Symptom: one request took down upstream after upstream, and with each all that ran beside it.
 // Sequence: it crashed one, was sent again by its caller, and crashed the next.
 // Cause: nobody charged the crashes to it.
 BOOST_AUTO_TEST_CASE(a_request_that_crashed_three_upstreams_is_refused)
 {
-    crash_watch watch;
+    crash_tracker watch;
     BOOST_TEST(!watch.has_suspects());
     crash(watch, 1, culprit);
     crash(watch, 2, culprit);
@@ -54,11 +54,11 @@
 // Cause: broken connections were taken for crashes.
 BOOST_AUTO_TEST_CASE(broken_connections_alone_are_no_crash)
 {
-    crash_watch watch;
+    crash_tracker watch;
     for (int number = 1; number <= 6; ++number)
     {
-        watch.lost(runner(number), culprit, start);
-        watch.lost(runner(number), neighbour, start);
+        watch.record_lost(runner(number), culprit, start);
+        watch.record_lost(runner(number), neighbour, start);
     }
 
     BOOST_TEST(!watch.has_suspects());
@@ -66,10 +66,10 @@
 
 BOOST_AUTO_TEST_CASE(a_request_that_ran_to_its_end_is_cleared)
 {
-    crash_watch watch;
+    crash_tracker watch;
     crash(watch, 1, neighbour);
     crash(watch, 2, neighbour);
-    watch.completed(neighbour, start);
+    watch.record_completed(neighbour, start);
     crash(watch, 3, neighbour);
 
     BOOST_TEST(!watch.refuses(neighbour, start));
@@ -79,8 +79,8 @@
 // Sequence: its caller sent it to another router each time. Cause: none told the others.
 BOOST_AUTO_TEST_CASE(routers_add_up_what_they_saw)
 {
-    crash_watch here;
-    crash_watch there;
+    crash_tracker here;
+    crash_tracker there;
     crash(here, 1, culprit);
     crash(here, 2, culprit);
     crash(there, 3, culprit);
@@ -95,7 +95,7 @@
 
 BOOST_AUTO_TEST_CASE(a_refusal_ends)
 {
-    crash_watch watch;
+    crash_tracker watch;
     for (int number = 1; number <= 3; ++number)
     {
         crash(watch, number, culprit);
--- a/tests/routing/test_placer.cpp
+++ b/tests/routing/test_placer.cpp
@@ -22,7 +22,7 @@
     load_board board;
     scheduling::scheduler_options health_options;
     scheduling::upstream_health health{health_options};
-    reading_pace pace;
+    prefill_pace pace;
     placer choice{{.zone = base::zone_id("z1")}};
 
     void add(const service& of, const std::string& id, const std::string& zone = "z1")
@@ -71,13 +71,14 @@
         add(engines, "e" + std::to_string(engine));
     }
     const auto parts = session("s1");
-    const placement_request request{.of = &engines, .prompt_tokens = 11900, .parts = &parts};
+    const placement_request request{
+        .requested_service = &engines, .prompt_tokens = 11900, .parts = &parts};
 
     const auto first = place(request);
     placer other({.zone = base::zone_id("z1")});
     const auto second = other.choose(request, directory, board, health, pace, now);
 
-    BOOST_TEST(first->where.id == second->where.id);
+    BOOST_TEST(first->target.id == second->target.id);
     BOOST_TEST(first->load.unread_tokens == 6600);
 }
 
@@ -91,7 +92,8 @@
     for (int each = 0; each < 120; ++each)
     {
         const auto parts = session("s" + std::to_string(each));
-        ++homes[place({.of = &engines, .prompt_tokens = 11900, .parts = &parts})->where.id];
+        ++homes[place({.requested_service = &engines, .prompt_tokens = 11900, .parts = &parts})
+                    ->target.id];
     }
 
     BOOST_TEST(homes.size() == 6);
@@ -109,12 +111,12 @@
     add(engines, "e2");
     const auto parts = session("s1");
     const placement_request request{
-        .of = &engines, .prompt_tokens = 11900, .parts = &parts, .longest_wait = 2000ms};
-    const auto home = place(request)->where.id;
+        .requested_service = &engines, .prompt_tokens = 11900, .parts = &parts, .max_wait = 2000ms};
+    const auto home = place(request)->target.id;
 
     board.begin(home, {.running = 4, .unread_tokens = 60000});
 
-    BOOST_TEST(place(request)->where.id != home);
+    BOOST_TEST(place(request)->target.id != home);
 }
 
 // Symptom: streams on some engines paused for longer than was on time, and prompts waited there,
@@ -126,16 +128,17 @@
     add(engines, "e2");
     for (int seen = 0; seen < 20; ++seen)
     {
-        pace.note(base::upstream_id("e1"), 0, 5000, 25ms + 165ms, now);
-        pace.note(base::upstream_id("e2"), 0, 5000, 25ms + 110ms, now);
+        pace.record_prefill(base::upstream_id("e1"), 0, 5000, 25ms + 165ms, now);
+        pace.record_prefill(base::upstream_id("e2"), 0, 5000, 25ms + 110ms, now);
         pace.refresh(now);
     }
     std::map<base::upstream_id, std::uint64_t> tokens;
     for (int each = 0; each < 50; ++each)
     {
-        const auto where = place({.of = &engines, .prompt_tokens = 5000, .longest_wait = 10000ms});
-        tokens[where->where.id] += 5000;
-        board.begin(where->where.id, {.unread_tokens = 5000});
+        const auto where =
+            place({.requested_service = &engines, .prompt_tokens = 5000, .max_wait = 10000ms});
+        tokens[where->target.id] += 5000;
+        board.begin(where->target.id, {.unread_tokens = 5000});
     }
 
     BOOST_TEST(tokens[base::upstream_id("e1")] * 10 < tokens[base::upstream_id("e2")] * 8);
@@ -146,14 +149,15 @@
     add(engines, "e1");
     add(engines, "e2");
     const auto parts = session("s1");
-    const placement_request request{.of = &engines, .prompt_tokens = 11900, .parts = &parts};
-    const auto home = place(request)->where.id;
+    const placement_request request{
+        .requested_service = &engines, .prompt_tokens = 11900, .parts = &parts};
+    const auto home = place(request)->target.id;
     const base::upstream_id other(home.str() == "e1" ? "e2" : "e1");
 
-    choice.note_sent(other, parts, now);
+    choice.record_sent(other, parts, now);
     board.begin(home, {.running = 1, .unread_tokens = 6000});
 
-    BOOST_TEST(place(request)->where.id == other);
+    BOOST_TEST(place(request)->target.id == other);
     BOOST_TEST(place(request)->load.unread_tokens == 6600);
 }
 
@@ -168,15 +172,17 @@
         add(engines, "e" + std::to_string(engine));
     }
     const auto parts = session("s1");
-    placement_request request{
-        .of = &engines, .prompt_tokens = 11900, .parts = &parts, .most_repeated = 300};
-    const auto home = place(request)->where.id;
+    placement_request request{.requested_service = &engines,
+                              .prompt_tokens = 11900,
+                              .parts = &parts,
+                              .max_repeated_tokens = 300};
+    const auto home = place(request)->target.id;
     board.begin(home, {.running = 32});
-    const auto second = place(request)->where.id;
+    const auto second = place(request)->target.id;
     board.begin(second, {.running = 32});
 
     BOOST_TEST(!place(request).has_value());
-    request.most_repeated = 10000;
+    request.max_repeated_tokens = 10000;
     BOOST_TEST(place(request).has_value());
 }
 
@@ -185,7 +191,7 @@
     add(engines, "e1");
     board.begin(base::upstream_id("e1"), {.running = 32});
 
-    BOOST_TEST(!place({.of = &engines, .prompt_tokens = 10}).has_value());
+    BOOST_TEST(!place({.requested_service = &engines, .prompt_tokens = 10}).has_value());
 }
 
 BOOST_AUTO_TEST_CASE(work_beyond_its_share_leaves_some_slots_free)
@@ -193,8 +199,9 @@
     add(engines, "e1");
     board.begin(base::upstream_id("e1"), {.running = 16});
 
-    BOOST_TEST(!place({.of = &engines, .prompt_tokens = 10, .slot_share = 0.5}).has_value());
-    BOOST_TEST(place({.of = &engines, .prompt_tokens = 10}).has_value());
+    BOOST_TEST(!place({.requested_service = &engines, .prompt_tokens = 10, .slot_share = 0.5})
+                    .has_value());
+    BOOST_TEST(place({.requested_service = &engines, .prompt_tokens = 10}).has_value());
 }
 
 // Symptom: the newest request of an engine was read again from its start, again and again.
@@ -204,76 +211,80 @@
     add(engines, "e1");
     board.begin(base::upstream_id("e1"), {.running = 5, .held_tokens = 545000});
 
-    BOOST_TEST(!place({.of = &engines, .prompt_tokens = 8000}).has_value());
-    BOOST_TEST(place({.of = &engines, .prompt_tokens = 4000}).has_value());
+    BOOST_TEST(!place({.requested_service = &engines, .prompt_tokens = 8000}).has_value());
+    BOOST_TEST(place({.requested_service = &engines, .prompt_tokens = 4000}).has_value());
 }
 
 BOOST_AUTO_TEST_CASE(a_prompt_larger_than_the_accepted_wait_still_finds_an_idle_engine)
 {
     add(engines, "e1");
 
-    BOOST_TEST(place({.of = &engines, .prompt_tokens = 60000, .longest_wait = 50ms}).has_value());
+    BOOST_TEST(place({.requested_service = &engines, .prompt_tokens = 60000, .max_wait = 50ms})
+                   .has_value());
 }
 
 BOOST_AUTO_TEST_CASE(plain_calls_go_to_the_emptiest_and_rather_to_the_own_zone)
 {
     add(plain, "near", "z1");
     add(plain, "far", "z2");
-    BOOST_TEST(place({.of = &plain})->where.id.str() == "near");
+    BOOST_TEST(place({.requested_service = &plain})->target.id.str() == "near");
 
     board.begin(base::upstream_id("near"), {.running = 4});
 
-    BOOST_TEST(place({.of = &plain})->where.id.str() == "far");
+    BOOST_TEST(place({.requested_service = &plain})->target.id.str() == "far");
 }
 
 BOOST_AUTO_TEST_CASE(no_upstream_is_tried_twice_for_one_request)
 {
     add(plain, "a");
 
-    BOOST_TEST(!place({.of = &plain, .tried = {base::upstream_id("a")}}).has_value());
+    BOOST_TEST(
+        !place({.requested_service = &plain, .tried = {base::upstream_id("a")}}).has_value());
 }
 
 BOOST_AUTO_TEST_CASE(what_an_engine_lacks_it_takes_from_the_home_of_the_session)
 {
     let_engines_hand_on();
     const auto parts = session("s1");
-    placement_request request{.of = &engines, .prompt_tokens = 11900, .parts = &parts};
+    placement_request request{
+        .requested_service = &engines, .prompt_tokens = 11900, .parts = &parts};
     add_engines(18);
-    const auto home = place(request)->where;
-    BOOST_TEST(!place(request)->source.has_value());
+    const auto home = place(request)->target;
+    BOOST_TEST(!place(request)->cache_source.has_value());
 
     board.begin(home.id, {.running = 32});
     const auto elsewhere = place(request);
-    BOOST_REQUIRE(elsewhere->source.has_value());
-    BOOST_TEST(elsewhere->source->id == home.id);
-    BOOST_TEST(elsewhere->where.id != home.id);
+    BOOST_REQUIRE(elsewhere->cache_source.has_value());
+    BOOST_TEST(elsewhere->cache_source->id == home.id);
+    BOOST_TEST(elsewhere->target.id != home.id);
 }
 
 BOOST_AUTO_TEST_CASE(nothing_is_taken_from_a_home_that_cannot_hold_it)
 {
     let_engines_hand_on();
     const auto parts = session("s1");
-    placement_request request{.of = &engines, .prompt_tokens = 11900, .parts = &parts};
+    placement_request request{
+        .requested_service = &engines, .prompt_tokens = 11900, .parts = &parts};
     add_engines(18);
-    const auto home = place(request)->where;
+    const auto home = place(request)->target;
     board.begin(home.id, {.running = 32});
 
     slow_start cold(base::node_id("r1"));
-    cold.set_terms({{engines.id, {.lasts = 3000ms, .rate = 10}}});
-    cold.note_cold(home, 3000ms, now);
-    request.cold = &cold;
-    BOOST_TEST(!place(request)->source.has_value());
-    request.cold = nullptr;
+    cold.set_limits({{engines.id, {.duration = 3000ms, .requests_per_s = 10}}});
+    cold.record_cold(home, 3000ms, now);
+    request.cold_upstreams = &cold;
+    BOOST_TEST(!place(request)->cache_source.has_value());
+    request.cold_upstreams = nullptr;
 
     request.tried = {home.id};
-    BOOST_TEST(!place(request)->source.has_value());
+    BOOST_TEST(!place(request)->cache_source.has_value());
     request.tried.clear();
 
     for (int failure = 0; failure < 5; ++failure)
     {
         health.note(home.id, scheduling::attempt_result::failed, {}, now);
     }
-    BOOST_TEST(health.ejected(home.id, now) != place(request)->source.has_value());
+    BOOST_TEST(health.ejected(home.id, now) != place(request)->cache_source.has_value());
 
     // Its zone is drained: it has another home.
     directory.note_zone({.zone = base::zone_id("z1"), .drained = true, .revision = 1});
@@ -286,15 +297,16 @@
         {.id = "system", .tokens = 119}, {.id = "s1", .tokens = 80}, {.id = "own", .tokens = 400}};
     const auto large = session("s1");
     add_engines(18);
-    placement_request request{.of = &engines, .prompt_tokens = 11900, .parts = &large};
-    board.begin(place(request)->where.id, {.running = 32});
-    BOOST_TEST(!place(request)->source.has_value());
+    placement_request request{
+        .requested_service = &engines, .prompt_tokens = 11900, .parts = &large};
+    board.begin(place(request)->target.id, {.running = 32});
+    BOOST_TEST(!place(request)->cache_source.has_value());
 
     let_engines_hand_on();
     request.parts = &small;
     request.prompt_tokens = 599;
-    board.begin(place(request)->where.id, {.running = 32});
-    BOOST_TEST(!place(request)->source.has_value());
+    board.begin(place(request)->target.id, {.running = 32});
+    BOOST_TEST(!place(request)->cache_source.has_value());
 }
 
 BOOST_AUTO_TEST_CASE(among_thousands_a_session_finds_its_home_and_others_spread)
@@ -304,16 +316,17 @@
         add(engines, "e" + std::to_string(engine));
     }
     const auto parts = session("s1");
-    placement_request request{.of = &engines, .prompt_tokens = 11900, .parts = &parts};
+    placement_request request{
+        .requested_service = &engines, .prompt_tokens = 11900, .parts = &parts};
     std::map<base::upstream_id, int> homes;
     std::map<base::upstream_id, int> others;
     for (int each = 0; each < 30; ++each)
     {
-        request.draw = each / 30.0;
+        request.random_unit = each / 30.0;
         request.parts = &parts;
-        ++homes[place(request)->where.id];
+        ++homes[place(request)->target.id];
         request.parts = nullptr;
-        ++others[place(request)->where.id];
+        ++others[place(request)->target.id];
     }
     BOOST_TEST(homes.size() == 1U);
     BOOST_TEST(others.size() >= 25U);
@@ -331,10 +344,12 @@
         }
     }
     const auto parts = session("s1");
-    const auto found =
-        place({.of = &engines, .prompt_tokens = 11900, .parts = &parts, .draw = 0.9});
+    const auto found = place({.requested_service = &engines,
+                              .prompt_tokens = 11900,
+                              .parts = &parts,
+                              .random_unit = 0.9});
     BOOST_REQUIRE(found.has_value());
-    BOOST_TEST(found->where.id.str() == "e1234");
+    BOOST_TEST(found->target.id.str() == "e1234");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/routing/test_slow_start.cpp
+++ b/tests/routing/test_slow_start.cpp
@@ -32,7 +32,7 @@
 slow_start make_router(const std::string& name)
 {
     slow_start out{base::node_id(name)};
-    out.set_terms({{engines, {.lasts = lasts, .rate = rate}}});
+    out.set_limits({{engines, {.duration = lasts, .requests_per_s = rate}}});
     return out;
 }
 
@@ -88,7 +88,7 @@
         {
             for (const auto& each : upstreams)
             {
-                router.note_cold(each, lasts, start);
+                router.record_cold(each, lasts, start);
             }
         }
     }
@@ -142,7 +142,7 @@
             {
                 continue;
             }
-            router.note_sent(upstreams[each], now);
+            router.record_sent(upstreams[each], now);
             auto& sent = last_second[each];
             sent.push_back(now);
             std::erase_if(sent, [&](auto at) { return at + 1s <= now; });
@@ -163,7 +163,7 @@
     for (int each = 0; each < 100; ++each)
     {
         BOOST_TEST(router.may_send(warm, start));
-        router.note_sent(warm, start);
+        router.record_sent(warm, start);
     }
 }
 
@@ -171,20 +171,20 @@
 {
     auto router = make_router("r1");
     const auto which = make("u1");
-    BOOST_TEST(router.note_cold(which, 800ms, start));
-    BOOST_TEST(!router.note_cold(which, 500ms, start + 200ms));
+    BOOST_TEST(router.record_cold(which, 800ms, start));
+    BOOST_TEST(!router.record_cold(which, 500ms, start + 200ms));
 
     BOOST_TEST(router.is_cold(which.id, start + 799ms));
     BOOST_TEST(!router.may_send(which, start + 799ms));
     BOOST_TEST(router.may_send(which, start + 800ms));
     BOOST_TEST((router.expire(start + 800ms) == std::vector{which.id}));
-    BOOST_TEST(!router.any());
+    BOOST_TEST(!router.any_cold());
 }
 
 BOOST_AUTO_TEST_CASE(services_that_tell_no_rate_bear_what_comes)
 {
     slow_start router{base::node_id("r1")};
-    router.note_cold(make("u1"), 3000ms, start);
+    router.record_cold(make("u1"), 3000ms, start);
     BOOST_TEST(router.may_send(make("u1"), start));
 }
 
@@ -192,8 +192,8 @@
 BOOST_AUTO_TEST_CASE(the_rate_may_be_told_after_the_upstream)
 {
     slow_start router{base::node_id("r1")};
-    router.note_cold(make("u1"), 3000ms, start);
-    router.set_terms({{engines, {.lasts = lasts, .rate = rate}}});
+    router.record_cold(make("u1"), 3000ms, start);
+    router.set_limits({{engines, {.duration = lasts, .requests_per_s = rate}}});
     BOOST_TEST(!router.may_send(make("u1"), start));
 }
 
@@ -201,9 +201,9 @@
 {
     auto router = make_router("r1");
     const auto which = make("u1");
-    router.note_cold(which, 3000ms, start);
+    router.record_cold(which, 3000ms, start);
     BOOST_TEST(!router.may_send(which, start));
-    router.set_fleet({.cut_off = true});
+    router.set_fleet({.isolated = true});
     BOOST_TEST(!router.may_send(which, start));
     router.set_fleet({});
     BOOST_TEST(router.may_send(which, start));
