--- a/src/libcaraway/routing/attempt_policy.cpp
+++ b/src/libcaraway/routing/attempt_policy.cpp
@@ -6,14 +6,15 @@
 namespace
 {
 
-/// Connections tried for one request before it is refused: enough to pass over a zone's dead
-/// upstreams, few enough to stay well inside what is on time.
-constexpr std::uint32_t max_unreachable = 3;
+/// Failed connections after which a request is refused: enough to skip the dead upstreams of a
+/// zone, few enough to stay well within the latency target.
+constexpr std::uint32_t max_connect_failures = 3;
 
-next_step after_no_run(attempt_outcome end, const attempt_state& state)
+next_step step_if_not_run(attempt_outcome outcome, const attempt_state& state)
 {
-    const bool unsent = end == attempt_outcome::unreachable;
-    const bool allowed = unsent ? state.unreachable < max_unreachable : state.sent < state.max_sent;
+    const bool unsent = outcome == attempt_outcome::unreachable;
+    const bool allowed =
+        unsent ? state.unreachable < max_connect_failures : state.sent < state.max_sent;
     if (state.has_time_left && allowed)
     {
         return state.partly_delivered ? next_step::resume : next_step::retry;
@@ -25,7 +26,7 @@
     return state.may_have_run ? next_step::give_up : next_step::refuse;
 }
 
-next_step after_possible_run(const attempt_state& state)
+next_step step_if_possibly_run(const attempt_state& state)
 {
     const bool allowed = state.has_time_left && state.sent < state.max_sent;
     if (state.partly_delivered)
@@ -79,9 +80,9 @@
     return "?";
 }
 
-next_step decide(attempt_outcome end, const attempt_state& state)
+next_step decide(attempt_outcome outcome, const attempt_state& state)
 {
-    switch (end)
+    switch (outcome)
     {
     case attempt_outcome::answered:
         return next_step::deliver;
@@ -96,10 +97,10 @@
     case attempt_outcome::refused:
     case attempt_outcome::other_instance:
     case attempt_outcome::unreachable:
-        return after_no_run(end, state);
+        return step_if_not_run(outcome, state);
     case attempt_outcome::unknown:
     case attempt_outcome::truncated:
-        return after_possible_run(state);
+        return step_if_possibly_run(state);
     }
     return next_step::give_up;
 }
--- a/src/libcaraway/routing/attempt_policy.hpp
+++ b/src/libcaraway/routing/attempt_policy.hpp
@@ -5,59 +5,61 @@
 namespace caraway::routing
 {
 
-/// How an attempt at an upstream ended, as far as is known.
+/// Outcome of sending a request to an upstream, as far as the router can tell.
 enum class attempt_outcome
 {
-    answered,        ///< Its whole answer is here.
-    upstream_error,  ///< Its whole answer is here, and says that it failed while it ran.
-    refused,         ///< It says that it did not run the request and never will.
-    other_instance,  ///< Another instance has the address; the request was not run.
-    unreachable,     ///< No connection; nothing was sent.
-    unknown,         ///< Sent, and no answer that belongs to it came; it may have run.
-    truncated,       ///< The answer began and was cut off.
+    answered,        ///< The complete answer was received.
+    upstream_error,  ///< A complete answer was received; it reports a failure while running.
+    refused,         ///< The upstream states that it did not and will not run the request.
+    other_instance,  ///< Another instance uses the address; the request was not run.
+    unreachable,     ///< The connection could not be made; nothing was sent.
+    unknown,         ///< Sent, but no matching answer was received; it may have run.
+    truncated,       ///< The answer began and ended prematurely.
 };
 
-/// The stable name, as in "other_instance".
+/// Stable name for logs and answers, such as "other_instance".
 const char* name(attempt_outcome value);
 
-/// What the request may still do.
+/// What decides whether a request may be sent again.
 struct attempt_state
 {
-    /// A second run does no harm.
+    /// Running the request twice has the same effect as running it once.
     bool idempotent = false;
-    /// Another upstream can go on where the stream broke off.
+    /// Another upstream can continue the stream from the last event.
     bool resumable = false;
-    /// A part of the answer is with the caller, or on its way.
+    /// A part of the answer was sent to the caller.
     bool partly_delivered = false;
-    /// Upstreams that it was sent to, this one included, and how many are allowed.
+    /// Upstreams that the request was sent to, the latest included, and the maximum number of them.
     std::uint32_t sent = 0;
     std::uint32_t max_sent = 1;
-    /// Connections that failed before anything was sent, this one included.
+    /// Connections that failed before anything was sent, the latest included.
     std::uint32_t unreachable = 0;
-    /// An earlier attempt may have run.
+    /// The request may have run at an upstream, in this attempt or an earlier one.
     bool may_have_run = false;
-    /// The caller still waits long enough for another attempt.
+    /// Enough time is left before the caller's deadline for another attempt.
     bool has_time_left = true;
 };
 
 enum class next_step
 {
-    deliver,       ///< Hand the answer to the caller.
+    deliver,       ///< Forward the answer to the caller.
     retry,         ///< Send the whole request to another upstream.
-    resume,        ///< Have another upstream go on with the stream.
-    refuse,        ///< Tell the caller that it was not run and when to come back.
-    give_up,       ///< Tell the caller that nobody knows whether it ran.
-    abort_answer,  ///< End the caller's connection, so that the answer doesn't look complete.
+    resume,        ///< Have another upstream continue the stream.
+    refuse,        ///< Tell the caller that the request was not run and when to retry.
+    give_up,       ///< Tell the caller that the request may or may not have run.
+    abort_answer,  ///< Close the caller's connection, so that the answer is not taken for complete.
 };
 
-/// The stable name, as in "try_again".
+/// Stable name for logs, such as "try_again".
 const char* name(next_step value);
 
-/// What follows from an attempt's end. Whether the retry budget allows a repeat is asked by the
-/// caller of this function, who calls again with `max_sent` = `sent` where it does not.
+/// Returns the step that follows an attempt's outcome. The retry budget is not considered here:
+/// the caller of this function checks it, and calls again with `max_sent` = `sent` if the budget
+/// allows no retry.
 ///
-/// A refusal promises that the request has not run, so it is given only while no attempt may have
-/// run; a request that isn't idempotent is sent again only under the same condition.
-next_step decide(attempt_outcome end, const attempt_state& state);
+/// `next_step::refuse` guarantees that the request has not run, so it is returned only if no
+/// attempt may have run. A request that is neither idempotent nor resumable is sent again only
+/// after an outcome that rules out a run.
+next_step decide(attempt_outcome outcome, const attempt_state& state);
 
 }  // namespace caraway::routing
--- a/src/libcaraway/routing/crash_tracker.cpp
+++ b/src/libcaraway/routing/crash_tracker.cpp
@@ -19,7 +19,7 @@
 {
     detector_.started(upstream, request);
     auto crash = detector_.connection_lost(upstream, request, now);
-    charge(crash, now);
+    attribute(crash, now);
     return crash;
 }
 
@@ -27,7 +27,7 @@
 crash_tracker::record_unreachable(const base::upstream_id& upstream, base::time_point now)
 {
     auto crash = detector_.unreachable(upstream, now);
-    charge(crash, now);
+    attribute(crash, now);
     return crash;
 }
 
@@ -46,16 +46,17 @@
 
 std::vector<attempts::suspect_entry> crash_tracker::entries(base::time_point now) const
 {
-    return suspects_.entries(options_.told, now);
+    return suspects_.entries(options_.max_digest_entries, now);
 }
 
-void crash_tracker::merge(const std::vector<attempts::suspect_entry>& others, base::time_point now)
+void crash_tracker::merge(const std::vector<attempts::suspect_entry>& peer_entries,
+                          base::time_point now)
 {
-    suspects_.merge(others, now);
+    suspects_.merge(peer_entries, now);
 }
 
-void crash_tracker::charge(const std::optional<attempts::upstream_crash>& crash,
-                           base::time_point now)
+void crash_tracker::attribute(const std::optional<attempts::upstream_crash>& crash,
+                              base::time_point now)
 {
     if (crash)
     {
--- a/src/libcaraway/routing/crash_tracker.hpp
+++ b/src/libcaraway/routing/crash_tracker.hpp
@@ -10,61 +10,65 @@
 
 struct crash_tracker_options
 {
-    /// Broken connections alone are no crash here: upstreams reset single answers, and refuse
-    /// connections beyond their limit, while they live. A new connection that is refused soon after
-    /// is what tells that the process is gone.
+    /// Lost connections alone do not count as a crash: running upstreams reset single answers and
+    /// refuse connections beyond their limit. A crash is assumed only if a new connection is
+    /// refused as well, shortly before or after.
     attempts::crash_detector_options detector{.lost_at_once =
                                                   std::numeric_limits<std::uint32_t>::max()};
-    /// Three crashes, not two: several upstreams at once are lost to racks and releases here, and
-    /// a request that merely ran on two of them isn't to be refused. The platform lets a request
+    /// Three crashes, not two: rack failures and releases take down several upstreams at once, and
+    /// a request that merely ran on two of them must not be refused. The platform lets a request
     /// reach upstreams up to its third crash and three times after.
     attempts::crash_options suspects{.refuse_at = 3,
                                      .always_refuse_at = 3,
                                      .suspect_for = std::chrono::seconds(120),
                                      .refuse_for = std::chrono::seconds(300)};
-    /// Entries in one digest: 30 bytes each, and few requests are suspects at a time.
-    std::size_t told = 16;
+    /// Entries in one digest, of 30 bytes each; few requests are suspects at a time.
+    std::size_t max_digest_entries = 16;
 };
 
-/// Finds requests that crash each upstream that runs them, over the whole fleet, and has them
-/// refused. Costs nothing while nothing crashes: a request is hashed only when it was lost, or
-/// while there are suspects that it could be.
+/// Detects requests that crash every upstream that runs them, across the fleet, and decides when
+/// such a request is refused. No cost without crashes: a request is hashed only if its connection
+/// was lost, or while there are suspects it could match.
 ///
-/// Suspects run like others until they are refused: keeping all that ran beside a crash in
-/// quarantine would hold up some thirty requests for each that is to blame.
+/// Suspects run like other requests until they are refused: quarantining all requests that were in
+/// flight during a crash would delay some thirty requests for each one that caused it.
 class crash_tracker
 {
 public:
     explicit crash_tracker(const crash_tracker_options& options = {});
 
-    /// Whether any request is under suspicion; else none needs a fingerprint.
+    /// Whether any request is a suspect; if not, no request needs a fingerprint.
     bool has_suspects() const
     {
         return suspects_.size() > 0;
     }
     bool refuses(attempts::request_fingerprint request, base::time_point now) const;
 
-    /// The connection to the upstream ended before the whole answer came. The crash, if this is
-    /// known to be one.
+    /// Records that the connection to the upstream ended before the answer was complete. Returns
+    /// the crash if one is detected.
     std::optional<attempts::upstream_crash> record_lost(const base::upstream_id& upstream,
                                                         attempts::request_fingerprint request,
                                                         base::time_point now);
-    /// A new connection was refused or not made.
+    /// Records that a new connection was refused or could not be made. Returns the crash if one is
+    /// detected.
     std::optional<attempts::upstream_crash> record_unreachable(const base::upstream_id& upstream,
                                                                base::time_point now);
-    /// Another process runs under its id. With connections lost there shortly before, the one
-    /// before crashed; what comes after says nothing of it.
+    /// Records that another process runs under the id of the upstream. If connections were lost
+    /// shortly before, the previous process crashed, and the crash is returned. The losses are then
+    /// cleared, as later events concern the new process only.
     std::optional<attempts::upstream_crash> record_restarted(const base::upstream_id& upstream,
                                                              base::time_point now);
-    /// A request had its whole answer.
+    /// Records that the complete answer of a request was received.
     void record_completed(attempts::request_fingerprint request, base::time_point now);
 
-    /// What the other routers are told, and what they told.
+    /// Suspects for the digest to the other routers, at most `max_digest_entries`.
     std::vector<attempts::suspect_entry> entries(base::time_point now) const;
-    void merge(const std::vector<attempts::suspect_entry>& others, base::time_point now);
+    /// Adds the suspects from the digest of another router.
+    void merge(const std::vector<attempts::suspect_entry>& peer_entries, base::time_point now);
 
 private:
-    void charge(const std::optional<attempts::upstream_crash>& crash, base::time_point now);
+    /// Counts a crash against the requests that were in flight.
+    void attribute(const std::optional<attempts::upstream_crash>& crash, base::time_point now);
 
     crash_tracker_options options_;
     attempts::crash_detector detector_;
--- a/src/libcaraway/routing/prefill_pace.cpp
+++ b/src/libcaraway/routing/prefill_pace.cpp
@@ -9,103 +9,107 @@
 namespace
 {
 
-/// Weights below this are dropped, and with them what is known of upstreams that ended.
-constexpr double least_weight_tokens = 50;
+/// Records with less weight than this are dropped, and with them those of removed upstreams.
+constexpr double min_weight_tokens = 50;
 
-void add(prefill_record& to, const prefill_record& what)
+void add(prefill_record& sum, const prefill_record& record)
 {
-    to.milliseconds += what.milliseconds;
-    to.tokens += what.tokens;
+    sum.milliseconds += record.milliseconds;
+    sum.tokens += record.tokens;
 }
 
 }  // namespace
 
 prefill_pace::prefill_pace(prefill_pace_options options) : options_(options) {}
 
-void prefill_pace::record_prefill(const base::upstream_id& id, std::uint64_t ahead,
-                                  std::uint32_t tokens, base::duration took, base::time_point now)
+void prefill_pace::record_prefill(const base::upstream_id& id, std::uint64_t queued_tokens,
+                                  std::uint32_t tokens, base::duration elapsed,
+                                  base::time_point now)
 {
-    const auto all = static_cast<double>(ahead + tokens);
-    if (tokens < options_.least_tokens || static_cast<double>(ahead) > options_.most_ahead * all)
+    const auto total_tokens = static_cast<double>(queued_tokens + tokens);
+    if (tokens < options_.min_tokens ||
+        static_cast<double>(queued_tokens) > options_.max_queued_fraction * total_tokens)
     {
         return;
     }
-    const double expected = ms_per_token(id) * all;
-    const double reading = std::chrono::duration<double, std::milli>(took - options_.start).count();
-    auto& mine = own_[id];
-    age(mine, now);
-    add(mine.seen,
-        {.milliseconds = std::clamp(reading, 0.0, options_.most_times * expected), .tokens = all});
+    const double expected = ms_per_token(id) * total_tokens;
+    const double prefill_ms =
+        std::chrono::duration<double, std::milli>(elapsed - options_.fixed_latency).count();
+    auto& own = own_[id];
+    apply_decay(own, now);
+    add(own.total,
+        {.milliseconds = std::clamp(prefill_ms, 0.0, options_.max_sample_ratio * expected),
+         .tokens = total_tokens});
 }
 
 void prefill_pace::set_peer(const base::node_id& peer, prefill_records records,
                             base::time_point now)
 {
-    peers_[peer] = {.records = std::move(records), .heard = now};
+    peers_[peer] = {.records = std::move(records), .received = now};
 }
 
 prefill_records prefill_pace::own_records(base::time_point now)
 {
     prefill_records out;
-    for (auto each = own_.begin(); each != own_.end();)
+    for (auto entry = own_.begin(); entry != own_.end();)
     {
-        age(each->second, now);
-        if (each->second.seen.tokens < least_weight_tokens)
+        apply_decay(entry->second, now);
+        if (entry->second.total.tokens < min_weight_tokens)
         {
-            each = own_.erase(each);
+            entry = own_.erase(entry);
             continue;
         }
-        out[each->first] = each->second.seen;
-        ++each;
+        out[entry->first] = entry->second.total;
+        ++entry;
     }
     return out;
 }
 
 void prefill_pace::refresh(base::time_point now)
 {
-    std::erase_if(peers_, [&](const auto& each)
-                  { return each.second.heard + options_.peer_lifetime <= now; });
-    auto total = own_records(now);
-    for (const auto& [peer, known] : peers_)
+    std::erase_if(peers_, [&](const auto& entry)
+                  { return entry.second.received + options_.peer_lifetime <= now; });
+    auto totals = own_records(now);
+    for (const auto& [peer, entry] : peers_)
     {
-        for (const auto& [id, seen] : known.records)
+        for (const auto& [id, record] : entry.records)
         {
-            add(total[id], seen);
+            add(totals[id], record);
         }
     }
-    all_ = {.milliseconds = options_.first_ms_per_token * options_.prior_tokens,
+    all_ = {.milliseconds = options_.initial_ms_per_token * options_.prior_tokens,
             .tokens = options_.prior_tokens};
-    for (const auto& [id, seen] : total)
+    for (const auto& [id, record] : totals)
     {
-        add(all_, seen);
+        add(all_, record);
     }
-    paces_.clear();
-    for (const auto& [id, seen] : total)
+    ms_per_token_.clear();
+    for (const auto& [id, record] : totals)
     {
-        paces_[id] = (seen.milliseconds + usual_pace() * options_.prior_tokens) /
-                     (seen.tokens + options_.prior_tokens);
+        ms_per_token_[id] = (record.milliseconds + mean_ms_per_token() * options_.prior_tokens) /
+                            (record.tokens + options_.prior_tokens);
     }
 }
 
-double prefill_pace::usual_pace() const
+double prefill_pace::mean_ms_per_token() const
 {
-    return all_.tokens > 0 ? all_.milliseconds / all_.tokens : options_.first_ms_per_token;
+    return all_.tokens > 0 ? all_.milliseconds / all_.tokens : options_.initial_ms_per_token;
 }
 
 double prefill_pace::ms_per_token(const base::upstream_id& id) const
 {
-    const auto found = paces_.find(id);
-    return found == paces_.end() ? usual_pace() : found->second;
+    const auto found = ms_per_token_.find(id);
+    return found == ms_per_token_.end() ? mean_ms_per_token() : found->second;
 }
 
-void prefill_pace::age(aging_record& of, base::time_point now) const
+void prefill_pace::apply_decay(decaying_record& record, base::time_point now) const
 {
-    const double halves = std::chrono::duration<double>(now - of.at) /
-                          std::chrono::duration<double>(options_.half_life);
-    const double kept = of.at == base::time_point{} ? 0 : std::exp2(-halves);
-    of.seen.milliseconds *= kept;
-    of.seen.tokens *= kept;
-    of.at = now;
+    const double half_lives = std::chrono::duration<double>(now - record.updated) /
+                              std::chrono::duration<double>(options_.half_life);
+    const double decay = record.updated == base::time_point{} ? 0 : std::exp2(-half_lives);
+    record.total.milliseconds *= decay;
+    record.total.tokens *= decay;
+    record.updated = now;
 }
 
 }  // namespace caraway::routing
--- a/src/libcaraway/routing/prefill_pace.hpp
+++ b/src/libcaraway/routing/prefill_pace.hpp
@@ -10,7 +10,7 @@
 namespace caraway::routing
 {
 
-/// What was seen of one engine's reading of prompts, newer weighing more.
+/// Observed prefill of one engine: time and prompt tokens, with recent samples weighing more.
 struct prefill_record
 {
     double milliseconds = 0;
@@ -21,68 +21,74 @@
 
 struct prefill_pace_options
 {
-    /// Before anything was seen: a prompt of thousands of tokens beside a batch. It is forgotten
-    /// within seconds.
-    double first_ms_per_token = 0.022;
-    /// From sending a short prompt until its first event at an idle engine: 25 to 40 ms on three
-    /// deployments, for prompts of under 300 tokens.
-    std::chrono::milliseconds start{25};
-    /// Shorter prompts say little of an engine's reading.
-    std::uint32_t least_tokens = 1000;
-    /// Nor do prompts behind others, whose reading isn't known so well: with more than this part of
-    /// all that had to be read.
-    double most_ahead = 0.3;
-    /// Time in which what was seen loses half of its weight: engines slow down and recover within
+    /// Prefill time per token assumed before any sample: that of a prompt of thousands of tokens
+    /// next to a running batch. Samples outweigh it within seconds.
+    double initial_ms_per_token = 0.022;
+    /// Time to first event that is not prefill: an idle engine takes 25 to 40 ms for prompts of
+    /// under 300 tokens, on three deployments.
+    std::chrono::milliseconds fixed_latency{25};
+    /// Samples of shorter prompts are ignored, as their time to first event is mostly latency.
+    std::uint32_t min_tokens = 1000;
+    /// Samples are ignored if more than this fraction of the tokens to prefill belonged to prompts
+    /// queued before, since the remaining prefill of those is only estimated.
+    double max_queued_fraction = 0.3;
+    /// Time in which a sample loses half of its weight: engines slow down and recover within
     /// seconds.
     std::chrono::milliseconds half_life{8000};
-    /// Tokens with which the mean of all engines weighs in an engine's own pace.
+    /// Weight, in tokens, of the mean of all engines in the estimate for one engine.
     double prior_tokens = 8000;
-    /// A sample counts with at most so many times the pace that was expected: one that met a
-    /// prompt nobody had told of yet is no measure of the engine.
-    double most_times = 3;
+    /// A sample is capped at this multiple of the expected time: a request that was queued behind
+    /// a prompt not yet reported by another router is no measure of the engine.
+    double max_sample_ratio = 3;
+    /// Records of a peer expire this long after they were received.
     std::chrono::milliseconds peer_lifetime{20000};
 };
 
-/// How fast each engine reads prompts, learned from the time to first events here and at the other
-/// routers. Engines of one service differ by half and some slow down; taken for alike, the slow
-/// ones get as much as the others, and what runs there waits and is held up.
+/// Estimates the prefill time per token of each engine, from times to first event measured by this
+/// router and by its peers. Engines of one service differ by half and some slow down; without
+/// separate estimates the slow engines would get as many requests as the others, which delays the
+/// prompts and the running requests there.
 class prefill_pace
 {
 public:
     explicit prefill_pace(prefill_pace_options options = {});
 
-    /// A prompt of `tokens`, behind `ahead` others, showed its first event after `took`.
-    void record_prefill(const base::upstream_id& id, std::uint64_t ahead, std::uint32_t tokens,
-                        base::duration took, base::time_point now);
+    /// Records that the first event of a prompt of `tokens`, queued behind `queued_tokens` of other
+    /// prompts, came after `elapsed`.
+    void record_prefill(const base::upstream_id& id, std::uint64_t queued_tokens,
+                        std::uint32_t tokens, base::duration elapsed, base::time_point now);
     void set_peer(const base::node_id& peer, prefill_records records, base::time_point now);
-    /// This router's, for its digest.
+    /// Returns this router's own records for its digest, and drops those with too little weight.
     prefill_records own_records(base::time_point now);
-    /// Adds up what all routers have seen; called at times, as it goes through all records.
+    /// Recomputes the estimates from the records of all routers. Iterates over all records, so it
+    /// is called periodically and not for each sample.
     void refresh(base::time_point now);
 
+    /// Estimated prefill time per token in ms; the mean of all engines if there is no sample.
     double ms_per_token(const base::upstream_id& id) const;
 
 private:
-    struct aging_record
+    struct decaying_record
     {
-        prefill_record seen;
-        base::time_point at{};
+        prefill_record total;
+        base::time_point updated{};
     };
     struct peer_records
     {
         prefill_records records;
-        base::time_point heard{};
+        base::time_point received{};
     };
 
-    void age(aging_record& of, base::time_point now) const;
-    double usual_pace() const;
+    void apply_decay(decaying_record& record, base::time_point now) const;
+    double mean_ms_per_token() const;
 
     prefill_pace_options options_;
-    std::map<base::upstream_id, aging_record> own_;
+    std::map<base::upstream_id, decaying_record> own_;
     std::map<base::node_id, peer_records> peers_;
+    /// Sum over all engines and routers, with the initial estimate as a prior.
     prefill_record all_;
-    /// Milliseconds for a token, of the engines of which something was seen.
-    std::unordered_map<base::upstream_id, double> paces_;
+    /// Milliseconds per token of the engines that have samples.
+    std::unordered_map<base::upstream_id, double> ms_per_token_;
 };
 
 }  // namespace caraway::routing
--- a/src/libcaraway/routing/retry_budget.hpp
+++ b/src/libcaraway/routing/retry_budget.hpp
@@ -11,22 +11,24 @@
 
 struct retry_budget_options
 {
-    /// Repeats allowed for each request, fleet-wide, in any window.
+    /// Retries allowed for each request, fleet-wide, in any window.
     double ratio = 0.2;
-    /// Repeats allowed besides, fleet-wide.
+    /// Retries allowed in any window in addition to `ratio`, fleet-wide.
     double slack = 0;
     std::chrono::milliseconds window{10000};
-    /// What a router spends of its part. The rest covers what it can't see: windows that begin
-    /// between its own counts, and routers that count a dead peer's part twice.
+    /// Fraction of its part of the budget that a router uses. The rest covers what a router cannot
+    /// observe: windows that begin between its own counts, and routers that count the part of a
+    /// dead peer twice.
     double usable_share = 0.6;
 
     friend bool operator==(const retry_budget_options&, const retry_budget_options&) = default;
 };
 
-/// One router's part of the fleet-wide retry budget. Each router keeps to `ratio` of the requests
-/// that it has itself received in the window, and to its part of the slack, so that the sum keeps
-/// to the fleet's bound without a message; peers that can't hear each other change nothing but the
-/// slack's part, which shrinks only with routers that were ever known.
+/// One router's part of the fleet-wide retry budget. Each router stays within `ratio` of the
+/// requests that it received itself in the window, plus its part of the slack, so that the fleet
+/// stays within its bound without any messages. A network partition affects only the part of the
+/// slack: a router divides the slack by the largest number of routers it has ever known, so its
+/// part never grows.
 class retry_budget
 {
 public:
@@ -36,27 +38,28 @@
     {
         options_ = options;
     }
-    /// Routers that share the slack; never lowered within a life.
+    /// Sets the number of routers that share the slack; a lower number than before is ignored,
+    /// until the process is restarted.
     void set_router_count(std::size_t count);
 
     void record_request(const base::service_id& service, base::time_point now);
-    /// Takes one repeat from the budget; false when none is left.
+    /// Takes one retry from the budget; false if the budget is exhausted.
     bool take_retry(const base::service_id& service, base::time_point now);
-    /// What is left now, for metrics.
+    /// Retries left in the current window, for metrics.
     double remaining(const base::service_id& service, base::time_point now);
 
 private:
-    struct counts
+    struct service_counts
     {
         std::deque<base::time_point> requests;
-        std::deque<base::time_point> repeats;
+        std::deque<base::time_point> retries;
     };
 
-    void drop_old(counts& of, base::time_point now) const;
+    void expire(service_counts& counts, base::time_point now) const;
 
     retry_budget_options options_;
-    std::size_t routers_ = 1;
-    std::map<base::service_id, counts> services_;
+    std::size_t router_count_ = 1;
+    std::map<base::service_id, service_counts> services_;
 };
 
 }  // namespace caraway::routing
