--- a/src/libcaraway/routing/placer.cpp
+++ b/src/libcaraway/routing/placer.cpp
@@ -15,41 +15,42 @@
 using scheduling::combine;
 using scheduling::stable_hash;
 
-/// Parts remembered of one upstream; its memory holds fewer.
-constexpr std::size_t max_parts = 2048;
+/// Parts recorded per upstream before expired ones are removed; the cache of an engine holds fewer.
+constexpr std::size_t max_recorded_parts = 2048;
 
-/// Identifies a part with all that stands before it: only then can a cache use it.
-std::vector<std::uint64_t> chain_of(const std::vector<prompt_part>& parts)
+/// Returns the hash of each part with all parts before it. A cached part can only be used for a
+/// prompt with the same parts before it.
+std::vector<std::uint64_t> prefix_hashes(const std::vector<prompt_part>& parts)
 {
-    std::vector<std::uint64_t> chain;
-    std::uint64_t so_far = 0;
+    std::vector<std::uint64_t> prefixes;
+    std::uint64_t prefix = 0;
     for (const auto& part : parts)
     {
-        so_far = combine(so_far, stable_hash(part.id));
-        chain.push_back(so_far);
+        prefix = combine(prefix, stable_hash(part.id));
+        prefixes.push_back(prefix);
     }
-    return chain;
+    return prefixes;
 }
 
-/// The highest and second highest weight of a part over the candidates: rendezvous hashing.
-std::pair<std::size_t, std::size_t> best_two(std::uint64_t part,
-                                             const std::vector<const upstream*>& candidates)
+/// Returns the candidates with the highest and second highest rendezvous weight for a part.
+std::pair<std::size_t, std::size_t> two_highest(std::uint64_t part,
+                                                const std::vector<const upstream*>& candidates)
 {
-    std::size_t first = prompt_homes::nowhere;
-    std::size_t second = prompt_homes::nowhere;
+    std::size_t first = prompt_homes::none;
+    std::size_t second = prompt_homes::none;
     std::uint64_t highest = 0;
     std::uint64_t next = 0;
     for (std::size_t index = 0; index < candidates.size(); ++index)
     {
         const auto weight = combine(part, candidates[index]->hash);
-        if (first == prompt_homes::nowhere || weight > highest)
+        if (first == prompt_homes::none || weight > highest)
         {
             second = first;
             next = highest;
             first = index;
             highest = weight;
         }
-        else if (second == prompt_homes::nowhere || weight > next)
+        else if (second == prompt_homes::none || weight > next)
         {
             second = index;
             next = weight;
@@ -66,13 +67,13 @@
     {
         return out;
     }
-    out.shared = chain_of(*parts);
-    out.shared.pop_back();
-    for (const auto part : out.shared)
+    out.prefixes = prefix_hashes(*parts);
+    out.prefixes.pop_back();
+    for (const auto part : out.prefixes)
     {
-        const auto [first, second] = best_two(part, candidates);
+        const auto [first, second] = two_highest(part, candidates);
         out.homes.push_back(first);
-        out.second = second;
+        out.second_home = second;
     }
     return out;
 }
@@ -100,14 +101,14 @@
     return std::uint64_t{request.prompt_tokens} + request.output_tokens;
 }
 
-std::uint32_t unread_tokens(const placement_request& request, std::uint32_t cached)
+std::uint32_t uncached_tokens(const placement_request& request, std::uint32_t cached)
 {
     return request.prompt_tokens - std::min(cached, request.prompt_tokens);
 }
 
-/// Behind the prompts that are before it; plain calls have none.
-std::chrono::milliseconds wait_of(const placement_request& request, const upstream_load& total,
-                                  double ms_per_token)
+/// Estimated time queued behind the prefill of other prompts; none for plain calls.
+std::chrono::milliseconds queue_wait(const placement_request& request, const upstream_load& total,
+                                     double ms_per_token)
 {
     if (!request.requested_service->engine)
     {
@@ -127,148 +128,154 @@
                                         const scheduling::upstream_health& health,
                                         const prefill_pace& pace, base::time_point now)
 {
-    const search within{.request = request,
-                        .candidates = directory.usable(request.requested_service->id),
-                        .board = board,
-                        .health = health,
-                        .pace = pace,
-                        .now = now,
-                        .homes =
-                            homes_for(directory.usable(request.requested_service->id),
-                                      request.requested_service->engine ? request.parts : nullptr),
-                        .shared = shared_tokens(request),
-                        .room = room_for(request)};
-    const auto best = cheapest(within);
+    const search_context context{
+        .request = request,
+        .candidates = directory.usable(request.requested_service->id),
+        .board = board,
+        .health = health,
+        .pace = pace,
+        .now = now,
+        .homes = homes_for(directory.usable(request.requested_service->id),
+                           request.requested_service->engine ? request.parts : nullptr),
+        .shared = shared_tokens(request),
+        .limits = limits_for(request)};
+    const auto best = cheapest(context);
     if (!best)
     {
         return std::nullopt;
     }
-    auto out = placed_at(*best, request);
-    const auto& homes = within.homes.homes;
-    const auto* home = homes.empty() ? nullptr : within.candidates[homes.back()];
+    auto out = make_placement(*best, request);
+    const auto& homes = context.homes.homes;
+    const auto* home = homes.empty() ? nullptr : context.candidates[homes.back()];
     if (const auto* source =
-            source_for(*best, home, request, within.shared - best->cached, health, now))
+            find_cache_source(*best, home, request, context.shared - best->cached, health, now))
     {
         out.cache_source = *source;
     }
     return out;
 }
 
-/// In a fleet of thousands a request is compared with its homes and some drawn ones: among so many
-/// one is nearly as good as the best of all, at a fraction of a small VM's time. Only if none of
-/// them takes it are all asked, as capacity must not idle while work waits.
-std::optional<placer::candidate> placer::cheapest(const search& within) const
+/// In a service with thousands of upstreams, only the homes of a request and a sample of the others
+/// are compared: the best of them is nearly as good as the best of all, at a fraction of the CPU
+/// time of a small VM. All upstreams are compared only if none of these has room, so that no
+/// capacity is idle while requests wait.
+std::optional<placer::candidate> placer::cheapest(const search_context& context) const
 {
-    choice found;
-    const auto count = within.candidates.size();
-    if (count > options_.all_compared)
+    search_result result;
+    const auto count = context.candidates.size();
+    if (count > options_.max_full_scan)
     {
-        for (const auto home : within.homes.homes)
+        for (const auto home : context.homes.homes)
         {
-            consider(within, home, found);
+            consider(context, home, result);
         }
-        if (within.homes.second != prompt_homes::nowhere)
+        if (context.homes.second_home != prompt_homes::none)
         {
-            consider(within, within.homes.second, found);
+            consider(context, context.homes.second_home, result);
         }
         const auto first =
-            static_cast<std::size_t>(within.request.random_unit * static_cast<double>(count));
-        for (std::size_t each = 0; each < options_.drawn; ++each)
+            static_cast<std::size_t>(context.request.random_unit * static_cast<double>(count));
+        for (std::size_t step = 0; step < options_.sample_size; ++step)
         {
-            consider(within, (first + each) % count, found);
+            consider(context, (first + step) % count, result);
         }
     }
-    for (std::size_t index = 0; index < count && (count <= options_.all_compared || !found.best);
+    for (std::size_t index = 0; index < count && (count <= options_.max_full_scan || !result.best);
          ++index)
     {
-        consider(within, index, found);
+        consider(context, index, result);
     }
-    return found.best;
+    return result.best;
 }
 
-void placer::consider(const search& within, std::size_t index, choice& found) const
+void placer::consider(const search_context& context, std::size_t index, search_result& result) const
 {
-    const auto& request = within.request;
-    const auto& where = *within.candidates[index];
-    candidate each{.target = &where, .total = within.board.total(where.id)};
-    // What most often rules one out comes first: with hundreds of engines, most of them full, a
-    // request that finds no place costs a small VM more than one that is served.
-    if (!has_room(where, request, within.room, each.total) || was_tried(request, where.id) ||
-        !within.health.usable(where.id, within.board.own_running(where.id), within.now))
+    const auto& request = context.request;
+    const auto& target = *context.candidates[index];
+    candidate considered{.target = &target, .total = context.board.total(target.id)};
+    // The most frequent reason for exclusion is checked first: with hundreds of engines, most of
+    // them full, placing nothing takes a small VM more CPU time than serving a request.
+    if (!has_room(target, request, context.limits, considered.total) ||
+        was_tried(request, target.id) ||
+        !context.health.usable(target.id, context.board.own_running(target.id), context.now))
     {
         return;
     }
-    if (request.cold_upstreams != nullptr && !request.cold_upstreams->may_send(where, within.now))
+    if (request.cold_upstreams != nullptr && !request.cold_upstreams->may_send(target, context.now))
     {
         return;
     }
-    each.ms_per_token = within.pace.ms_per_token(where.id);
-    each.wait = wait_of(request, each.total, each.ms_per_token);
-    if (each.total.running > 0 && each.wait > request.max_wait)
+    considered.ms_per_token = context.pace.ms_per_token(target.id);
+    considered.wait = queue_wait(request, considered.total, considered.ms_per_token);
+    if (considered.total.running > 0 && considered.wait > request.max_wait)
     {
         return;
     }
-    const auto& homes = within.homes;
-    each.cached = cached_tokens(where.id, request, homes.shared, homes.depth(index), within.now);
-    const bool second_home = homes.second == index;
-    if (within.shared - each.cached > request.max_repeated_tokens && !second_home)
+    const auto& homes = context.homes;
+    considered.cached =
+        cached_tokens(target.id, request, homes.prefixes, homes.depth(index), context.now);
+    const bool at_second_home = homes.second_home == index;
+    if (context.shared - considered.cached > request.max_repeated_tokens && !at_second_home)
     {
         return;
     }
-    each.repeated = (within.shared - each.cached) * (second_home ? options_.second_home : 1.0);
-    const double costs = cost(each, request);
-    if (costs < found.lowest)
+    considered.repeated =
+        (context.shared - considered.cached) * (at_second_home ? options_.second_home_factor : 1.0);
+    const double total_cost = cost(considered, request);
+    if (total_cost < result.lowest_cost)
     {
-        found.lowest = costs;
-        found.best = each;
+        result.lowest_cost = total_cost;
+        result.best = considered;
     }
 }
 
-const upstream* placer::source_for(const candidate& chosen, const upstream* home,
-                                   const placement_request& request, std::uint32_t missing,
-                                   const scheduling::upstream_health& health,
-                                   base::time_point now) const
+const upstream* placer::find_cache_source(const candidate& chosen, const upstream* home,
+                                          const placement_request& request, std::uint32_t missing,
+                                          const scheduling::upstream_health& health,
+                                          base::time_point now) const
 {
     const bool may_hold =
         home != nullptr && home != chosen.target && !was_tried(request, home->id) &&
         !health.ejected(home->id, now) &&
         (request.cold_upstreams == nullptr || !request.cold_upstreams->is_cold(home->id, now));
-    const auto transfer = request.requested_service->engine
-                              ? request.requested_service->engine->transfer_per_token.count()
-                              : 0;
-    if (!may_hold || transfer <= 0)
+    const auto transfer_ms_per_token =
+        request.requested_service->engine
+            ? request.requested_service->engine->transfer_per_token.count()
+            : 0;
+    if (!may_hold || transfer_ms_per_token <= 0)
     {
         return nullptr;
     }
-    const double gain = missing * (chosen.ms_per_token - transfer);
-    return gain > static_cast<double>(options_.least_gain.count()) ? home : nullptr;
+    const double gain = missing * (chosen.ms_per_token - transfer_ms_per_token);
+    return gain > static_cast<double>(options_.min_transfer_gain.count()) ? home : nullptr;
 }
 
 void placer::record_sent(const base::upstream_id& id, const std::vector<prompt_part>& parts,
                          base::time_point now)
 {
-    auto& known = read_[id];
-    if (known.size() > max_parts)
+    auto& recorded = cached_parts_[id];
+    if (recorded.size() > max_recorded_parts)
     {
-        std::erase_if(known, [&](const auto& each)
-                      { return each.second + options_.part_lifetime <= now; });
+        std::erase_if(recorded, [&](const auto& entry)
+                      { return entry.second + options_.part_lifetime <= now; });
     }
-    const auto chain = chain_of(parts);
-    for (std::size_t depth = 0; depth + 1 < chain.size(); ++depth)
+    const auto prefixes = prefix_hashes(parts);
+    for (std::size_t depth = 0; depth + 1 < prefixes.size(); ++depth)
     {
-        known[chain[depth]] = now;
+        recorded[prefixes[depth]] = now;
     }
 }
 
 std::uint32_t placer::cached_tokens(const base::upstream_id& id, const placement_request& request,
-                                    const std::vector<std::uint64_t>& chain, std::size_t home_depth,
-                                    base::time_point now) const
+                                    const std::vector<std::uint64_t>& prefixes,
+                                    std::size_t home_depth, base::time_point now) const
 {
-    const auto found = read_.find(id);
+    const auto found = cached_parts_.find(id);
     std::size_t depth = home_depth;
-    for (std::size_t part = home_depth; found != read_.end() && part < chain.size(); ++part)
+    for (std::size_t part = home_depth; found != cached_parts_.end() && part < prefixes.size();
+         ++part)
     {
-        const auto known = found->second.find(chain[part]);
+        const auto known = found->second.find(prefixes[part]);
         if (known != found->second.end() && known->second + options_.part_lifetime > now)
         {
             depth = part + 1;
@@ -282,61 +289,63 @@
     return tokens;
 }
 
-placer::engine_room placer::room_for(const placement_request& request) const
+placer::engine_limits placer::limits_for(const placement_request& request) const
 {
     if (!request.requested_service->engine)
     {
         return {};
     }
     const auto& engine = *request.requested_service->engine;
-    return {.places = std::max(1.0, std::floor(request.slot_share * engine.slots)),
-            .tokens = static_cast<std::uint64_t>(options_.memory_share *
-                                                 static_cast<double>(engine.kv_tokens))};
+    return {.max_running = std::max(1.0, std::floor(request.slot_share * engine.slots)),
+            .max_tokens = static_cast<std::uint64_t>(options_.usable_kv_fraction *
+                                                     static_cast<double>(engine.kv_tokens))};
 }
 
-bool placer::has_room(const upstream& where, const placement_request& request,
-                      const engine_room& room, const upstream_load& total) const
+bool placer::has_room(const upstream& target, const placement_request& request,
+                      const engine_limits& limits, const upstream_load& total) const
 {
     if (!request.requested_service->engine)
     {
-        return total.running < static_cast<std::uint32_t>(options_.plain_depth * where.slots);
+        return total.running <
+               static_cast<std::uint32_t>(options_.plain_calls_per_slot * target.slots);
     }
     const bool fits =
-        total.running == 0 || total.held_tokens + needed_tokens(request) <= room.tokens;
-    return total.running < room.places && fits;
+        total.running == 0 || total.held_tokens + needed_tokens(request) <= limits.max_tokens;
+    return total.running < limits.max_running && fits;
 }
 
-double placer::cost(const candidate& of, const placement_request& request) const
+double placer::cost(const candidate& rated, const placement_request& request) const
 {
-    const auto& where = *of.target;
+    const auto& target = *rated.target;
     const double distance =
-        where.zone == options_.zone ? 0 : static_cast<double>(options_.other_zone.count());
+        target.zone == options_.zone ? 0 : static_cast<double>(options_.cross_zone_cost.count());
     if (!request.requested_service->engine)
     {
-        const double waiting = static_cast<double>(of.total.running) / std::max(1U, where.slots);
-        return distance + waiting * static_cast<double>(options_.plain_call.count());
+        const double calls_per_slot =
+            static_cast<double>(rated.total.running) / std::max(1U, target.slots);
+        return distance + calls_per_slot * static_cast<double>(options_.plain_call_cost.count());
     }
-    const double reading = unread_tokens(request, of.cached) * of.ms_per_token;
-    const double slowing =
-        std::chrono::duration<double, std::milli>(options_.running_request).count() *
-        of.total.running;
-    const double repeating = options_.repeat_weight * of.repeated * of.ms_per_token;
-    return distance + static_cast<double>(of.wait.count()) + reading + repeating + slowing;
+    const double prefill = uncached_tokens(request, rated.cached) * rated.ms_per_token;
+    const double slowdown =
+        std::chrono::duration<double, std::milli>(options_.running_request_cost).count() *
+        rated.total.running;
+    const double repeat_cost = options_.repeat_cost_factor * rated.repeated * rated.ms_per_token;
+    return distance + static_cast<double>(rated.wait.count()) + prefill + repeat_cost + slowdown;
 }
 
-placement placer::placed_at(const candidate& of, const placement_request& request) const
+placement placer::make_placement(const candidate& chosen, const placement_request& request) const
 {
     if (!request.requested_service->engine)
     {
-        return {.target = *of.target, .load = {.running = 1}, .running = of.total.running};
+        return {.target = *chosen.target, .load = {.running = 1}, .running = chosen.total.running};
     }
-    return {.target = *of.target,
+    return {.target = *chosen.target,
             .load = {.running = 1,
-                     .unread_tokens = unread_tokens(request, of.cached),
+                     .unread_tokens = uncached_tokens(request, chosen.cached),
                      .held_tokens = needed_tokens(request)},
-            .wait = of.wait,
-            .queued_tokens = of.total.unread_tokens,
-            .running = of.total.running};
+            .wait = chosen.wait,
+            .queued_tokens = chosen.total.unread_tokens,
+            .running = chosen.total.running};
 }
 
 }  // namespace caraway::routing
--- a/src/libcaraway/routing/placer.hpp
+++ b/src/libcaraway/routing/placer.hpp
@@ -16,85 +16,90 @@
 
 struct placement_options
 {
+    /// Zone of this router.
     base::zone_id zone;
-    /// There and back to another zone: 1 to 3 ms on the deployments' sheets, doubled because the
-    /// bytes between zones cost too.
-    std::chrono::milliseconds other_zone{6};
-    /// By how much one more running request slows an engine's steps, over a short answer.
-    std::chrono::microseconds running_request{1500};
-    /// Work of one plain call: 15 to 30 ms on the deployments' sheets.
-    std::chrono::milliseconds plain_call{20};
-    /// Calls a plain upstream may hold for each slot: as work takes a fifth of what is on time, one
-    /// may wait behind each that runs.
-    double plain_depth = 2;
-    /// Part of an engine's memory that is given out; the rest is for outputs longer than expected,
-    /// since an engine that runs out reads its newest request again from the start.
-    double memory_share = 0.92;
-    /// Reading a shared part anew takes its engine's time from all who wait there, and a place in
-    /// its memory from another part: it weighs so many times the reading itself.
-    double repeat_weight = 3;
-    /// A session that doesn't fit its home overflows to the next in line, the same for all routers,
-    /// rather than to anywhere: reading its parts anew weighs so much less there.
-    double second_home = 0.5;
-    /// How much sooner a part has to be there by a transfer than by reading it anew: a transfer
-    /// has to be set up, and others may be before it.
-    std::chrono::milliseconds least_gain{5};
-    /// Up to so many upstreams of a service are all compared for each request; of more, its homes
-    /// and so many drawn ones.
-    std::size_t all_compared = 256;
-    std::size_t drawn = 96;
-    /// How long a part that was read is believed to stay in an engine's cache.
+    /// Cost of an upstream in another zone. The round trip takes 1 to 3 ms according to the
+    /// deployments' specifications; doubled, because traffic between zones is also charged.
+    std::chrono::milliseconds cross_zone_cost{6};
+    /// Delay that one more running request adds to the decoding steps of an engine, summed over a
+    /// short answer.
+    std::chrono::microseconds running_request_cost{1500};
+    /// Work of one plain call: 15 to 30 ms according to the deployments' specifications.
+    std::chrono::milliseconds plain_call_cost{20};
+    /// Calls in flight per slot of a plain upstream. The work of a call takes a fifth of its
+    /// latency target, so one call may wait behind each running one.
+    double plain_calls_per_slot = 2;
+    /// Fraction of an engine's KV cache that requests may reserve. The rest is for outputs longer
+    /// than expected, since an engine that runs out of memory prefills its newest request again.
+    double usable_kv_fraction = 0.92;
+    /// Cost factor for prefilling a shared part again, relative to the prefill time itself: the
+    /// prefill delays all requests queued at the engine, and evicts another part from its cache.
+    double repeat_cost_factor = 3;
+    /// Factor on the repeated tokens of a prompt at its second home. A session that does not fit
+    /// its home thus overflows to one upstream, the same for all routers, instead of to any.
+    double second_home_factor = 0.5;
+    /// Minimum time that a transfer of shared parts has to save compared to prefilling them: a
+    /// transfer has to be set up, and may be queued behind others.
+    std::chrono::milliseconds min_transfer_gain{5};
+    /// A service with at most this many upstreams has all of them compared for each request. Of
+    /// larger services, the homes of the request and `sample_size` others are compared.
+    std::size_t max_full_scan = 256;
+    std::size_t sample_size = 96;
+    /// How long a part is assumed to stay in an engine's cache after a request that contains it.
     std::chrono::milliseconds part_lifetime{20000};
 };
 
-/// A request that looks for an upstream.
+/// A request to be placed, and the limits that apply to it.
 struct placement_request
 {
     const service* requested_service = nullptr;
     std::uint32_t prompt_tokens = 0;
     std::uint32_t output_tokens = 0;
+    /// Parts of the prompt in order. All but the last may be shared with other requests.
     const std::vector<prompt_part>* parts = nullptr;
-    /// Upstreams that this request has been sent to.
+    /// Upstreams that the request was sent to before; they are not chosen again.
     std::vector<base::upstream_id> tried;
-    /// The longest wait behind other prompts that is accepted at an engine.
+    /// Maximum time queued behind the prefill of other prompts; an engine without running requests
+    /// is accepted in any case.
     std::chrono::milliseconds max_wait{300};
-    /// Part of an engine's slots that it may use: below 1 for work that should give way.
+    /// Fraction of an engine's slots that the request may use: below 1 for low-priority requests.
     double slot_share = 1;
-    /// Which upstreams are cold; absent: none is.
+    /// Cold upstreams, which accept a limited rate; null: no upstream is cold.
     slow_start* cold_upstreams = nullptr;
-    /// Uniform in [0, 1): which upstreams it is compared with where there are too many.
+    /// Uniform in [0, 1): selects the upstreams compared in services larger than `max_full_scan`.
     double random_unit = 0;
-    /// Tokens of shared parts that may be read anew for it.
+    /// Maximum number of tokens of shared parts that may be prefilled again for the request, except
+    /// at its second home.
     std::uint32_t max_repeated_tokens = std::numeric_limits<std::uint32_t>::max();
 };
 
 struct placement
 {
     upstream target;
-    /// What the request adds there.
+    /// Load that the request adds to the target.
     upstream_load load;
-    /// The engine that hands on the shared parts of the prompt which this one lacks.
+    /// Engine from which the target should fetch the shared parts of the prompt that it lacks.
     std::optional<upstream> cache_source;
-    /// Wait behind the prompts that are before it.
+    /// Estimated time queued behind the prefill of other prompts.
     std::chrono::milliseconds wait{};
-    /// Prompt tokens before it.
+    /// Prompt tokens queued at the target before the request.
     std::uint64_t queued_tokens = 0;
-    /// Requests believed to run there before it.
+    /// Requests known to run at the target before this one.
     std::uint32_t running = 0;
 };
 
-/// Where a request's shared parts are at home, among the candidates by index.
+/// The homes of a prompt's shared parts, as indices into the candidates.
 struct prompt_homes
 {
-    static constexpr std::size_t nowhere = std::numeric_limits<std::size_t>::max();
+    static constexpr std::size_t none = std::numeric_limits<std::size_t>::max();
 
-    /// Each shared part with all before it, and the home of each.
-    std::vector<std::uint64_t> shared;
+    /// Hash of each shared part with all parts before it, and the home of each.
+    std::vector<std::uint64_t> prefixes;
     std::vector<std::size_t> homes;
-    /// The next in line for the deepest part.
-    std::size_t second = nowhere;
+    /// Second home of the last shared part: the candidate with the next lower weight.
+    std::size_t second_home = none;
 
-    /// How many shared parts, from the first, the candidate is believed to hold as a home.
+    /// Number of shared parts, from the first, that the candidate should have cached as their home.
     std::size_t depth(std::size_t candidate) const
     {
         for (std::size_t part = homes.size(); part > 0; --part)
@@ -108,59 +113,67 @@
     }
 };
 
-/// Chooses the upstream where a request starts soonest, as far as the load board knows: waiting
-/// prompts, its own prompt less what a cache is believed to hold, running requests, distance.
+/// Chooses the upstream with the lowest estimated latency for a request. The estimate is made of
+/// the prefill queued at the upstream, the uncached part of the request's own prompt, the requests
+/// running there, and the network distance.
 ///
-/// Shared parts of prompts have a home, by rendezvous hashing of the part over the service's
-/// upstreams, that all routers agree on without a message. The home is believed to hold the part,
-/// so requests of one session meet there as long as its queue is shorter than reading the part
-/// anew elsewhere takes; where they went otherwise is remembered.
+/// Each shared part of a prompt has a home: the upstream selected by rendezvous hashing of the part
+/// over the upstreams of the service, on which all routers agree without messages. The home is
+/// assumed to have the part cached, so requests of one session are sent there as long as its queue
+/// takes less time than prefilling the part elsewhere. Other upstreams that a part was sent to are
+/// recorded.
 class placer
 {
 public:
     explicit placer(placement_options options);
 
+    /// Returns the best upstream and the load that the request adds to it, or nothing if no
+    /// upstream has room for the request.
     std::optional<placement> choose(const placement_request& request,
                                     const upstream_directory& directory, const load_board& board,
                                     const scheduling::upstream_health& health,
                                     const prefill_pace& pace, base::time_point now);
-    /// The request went there: its shared parts will be in that cache.
+    /// Records that a request with these parts was sent to the upstream, which will have its shared
+    /// parts cached.
     void record_sent(const base::upstream_id& id, const std::vector<prompt_part>& parts,
                      base::time_point now);
-    /// Its cache is empty: another process runs there.
+    /// Drops what is recorded of the cache of an upstream, after its process was replaced.
     void forget(const base::upstream_id& id)
     {
-        read_.erase(id);
+        cached_parts_.erase(id);
     }
 
 private:
-    /// An upstream that has room, and what the request meets there.
+    /// An upstream that has room for the request, with the estimates that its cost is made of.
     struct candidate
     {
         const upstream* target = nullptr;
+        /// Load from all routers.
         upstream_load total;
         double ms_per_token = 0;
-        /// Wait behind the prompts that are before it.
+        /// Estimated time queued behind the prefill of other prompts.
         std::chrono::milliseconds wait{};
-        /// Tokens that its cache is believed to hold, and shared ones that are to be read anew.
+        /// Prompt tokens assumed to be cached.
         std::uint32_t cached = 0;
+        /// Tokens of shared parts to be prefilled again, reduced at the second home.
         double repeated = 0;
     };
 
+    /// By the hash of a part with all parts before it: when it was last sent.
     using part_times = std::unordered_map<std::uint64_t, base::time_point>;
 
     std::uint32_t cached_tokens(const base::upstream_id& id, const placement_request& request,
-                                const std::vector<std::uint64_t>& chain, std::size_t home_depth,
+                                const std::vector<std::uint64_t>& prefixes, std::size_t home_depth,
                                 base::time_point now) const;
-    /// What each engine may hold after the request is there.
-    struct engine_room
+    /// Limits of an engine's load, with the request included.
+    struct engine_limits
     {
-        double places = 0;
-        std::uint64_t tokens = 0;
+        double max_running = 0;
+        std::uint64_t max_tokens = 0;
     };
 
-    /// What a request is compared by.
-    struct search
+    /// Inputs of one choice, which are the same for all candidates.
+    struct search_context
     {
         const placement_request& request;
         const std::vector<const upstream*>& candidates;
@@ -169,32 +182,34 @@
         const prefill_pace& pace;
         base::time_point now;
         prompt_homes homes;
+        /// Tokens of all shared parts.
         std::uint32_t shared = 0;
-        engine_room room;
+        engine_limits limits;
     };
 
-    struct choice
+    struct search_result
     {
         std::optional<candidate> best;
-        double lowest = std::numeric_limits<double>::infinity();
+        double lowest_cost = std::numeric_limits<double>::infinity();
     };
 
-    std::optional<candidate> cheapest(const search& within) const;
-    /// Takes it for the choice if it has room and costs less than the one before.
-    void consider(const search& within, std::size_t index, choice& found) const;
-    engine_room room_for(const placement_request& request) const;
-    bool has_room(const upstream& where, const placement_request& request, const engine_room& room,
-                  const upstream_load& total) const;
-    /// Which engine should hand on the shared parts that the chosen one lacks, if any.
-    const upstream* source_for(const candidate& chosen, const upstream* home,
-                               const placement_request& request, std::uint32_t missing,
-                               const scheduling::upstream_health& health,
-                               base::time_point now) const;
-    double cost(const candidate& of, const placement_request& request) const;
-    placement placed_at(const candidate& of, const placement_request& request) const;
+    std::optional<candidate> cheapest(const search_context& context) const;
+    /// Makes the candidate the best one if it has room and costs less than the best so far.
+    void consider(const search_context& context, std::size_t index, search_result& result) const;
+    engine_limits limits_for(const placement_request& request) const;
+    bool has_room(const upstream& target, const placement_request& request,
+                  const engine_limits& limits, const upstream_load& total) const;
+    /// Returns the engine that should transfer the shared parts that the chosen one lacks, or null
+    /// if prefilling them is about as fast or no engine can transfer them.
+    const upstream* find_cache_source(const candidate& chosen, const upstream* home,
+                                      const placement_request& request, std::uint32_t missing,
+                                      const scheduling::upstream_health& health,
+                                      base::time_point now) const;
+    double cost(const candidate& rated, const placement_request& request) const;
+    placement make_placement(const candidate& chosen, const placement_request& request) const;
 
     placement_options options_;
-    std::unordered_map<base::upstream_id, part_times> read_;
+    std::unordered_map<base::upstream_id, part_times> cached_parts_;
 };
 
 }  // namespace caraway::routing
