--- a/src/libcaraway/routing/placer.hpp
+++ b/src/libcaraway/routing/placer.hpp
@@ -62,7 +62,8 @@
     /// Maximum time queued behind the prefill of other prompts; an engine without running requests
     /// is accepted in any case.
     std::chrono::milliseconds max_wait{300};
-    /// Fraction of an engine's slots that the request may use: below 1 for low-priority requests.
+    /// Fraction of an engine's slots that the request may use: below 1 for requests beyond their
+    /// workspace's share, so that slots stay free for others.
     double slot_share = 1;
     /// Cold upstreams, which accept a limited rate; null: no upstream is cold.
     slow_start* cold_upstreams = nullptr;
--- a/tests/routing/test_attempt_policy.cpp
+++ b/tests/routing/test_attempt_policy.cpp
@@ -9,12 +9,12 @@
 namespace
 {
 
-constexpr std::array all_ends{attempt_outcome::answered,    attempt_outcome::upstream_error,
-                              attempt_outcome::refused,     attempt_outcome::other_instance,
-                              attempt_outcome::unreachable, attempt_outcome::unknown,
-                              attempt_outcome::truncated};
+constexpr std::array all_outcomes{attempt_outcome::answered,    attempt_outcome::upstream_error,
+                                  attempt_outcome::refused,     attempt_outcome::other_instance,
+                                  attempt_outcome::unreachable, attempt_outcome::unknown,
+                                  attempt_outcome::truncated};
 
-/// All combinations of what a request may still do.
+/// Calls `check` for all combinations of state flags, with one to three upstreams tried of two.
 template <class Check>
 void for_all_states(Check check)
 {
@@ -35,85 +35,84 @@
     }
 }
 
-bool tells_whether_it_ran(attempt_outcome end)
+bool rules_out_a_run(attempt_outcome outcome)
 {
-    return end == attempt_outcome::refused || end == attempt_outcome::other_instance ||
-           end == attempt_outcome::unreachable;
+    return outcome == attempt_outcome::refused || outcome == attempt_outcome::other_instance ||
+           outcome == attempt_outcome::unreachable;
 }
 
 }  // namespace
 
 BOOST_AUTO_TEST_SUITE(attempt_policies)
 
-// Symptom: a pickup was confirmed twice.
-// Sequence: the confirmation was sent, the connection was cut before its answer, it was sent again.
-// Cause: silence was taken for "not run".
-BOOST_AUTO_TEST_CASE(what_is_not_idempotent_is_sent_again_only_if_it_provably_did_not_run)
+// Guards against running a request twice: the connection is closed before the answer arrives, and
+// the missing answer is taken for "not run".
+BOOST_AUTO_TEST_CASE(a_request_that_is_not_idempotent_is_resent_only_if_it_did_not_run)
 {
-    for (const auto end : all_ends)
+    for (const auto outcome : all_outcomes)
     {
         for_all_states(
             [&](const attempt_state& state)
             {
-                if (state.idempotent || state.resumable || tells_whether_it_ran(end))
+                if (state.idempotent || state.resumable || rules_out_a_run(outcome))
                 {
                     return;
                 }
-                const auto step = decide(end, state);
+                const auto step = decide(outcome, state);
                 BOOST_TEST((step != next_step::retry && step != next_step::resume));
             });
     }
 }
 
-// Symptom: a caller was told "not run" and came back with a request that had run.
-// Sequence: a first upstream's answer was lost, a second one refused the request.
-// Cause: only the last attempt was looked at.
-BOOST_AUTO_TEST_CASE(nothing_that_may_have_run_is_refused)
+// Guards against telling a caller that a request was not run, and thus having it sent again,
+// although an upstream ran it: the answer of the first upstream is lost, a second one refuses the
+// request, and only the last attempt is considered.
+BOOST_AUTO_TEST_CASE(no_request_that_may_have_run_is_refused)
 {
-    for (const auto end : all_ends)
+    for (const auto outcome : all_outcomes)
     {
         for_all_states(
             [&](const attempt_state& state)
             {
-                if (decide(end, state) == next_step::refuse)
+                if (decide(outcome, state) == next_step::refuse)
                 {
                     BOOST_TEST(!state.may_have_run);
                     BOOST_TEST(!state.partly_delivered);
-                    BOOST_TEST(tells_whether_it_ran(end));
+                    BOOST_TEST(rules_out_a_run(outcome));
                 }
             });
     }
 }
 
-// Symptom: a stream ended as if it were complete, without its last events.
-// Sequence: the upstream crashed midway; no other could go on.
-// Cause: the answer was ended instead of broken off.
-BOOST_AUTO_TEST_CASE(an_answer_that_began_is_completed_resumed_or_broken_off)
+// Guards against a stream that looks complete without its last events: the upstream crashes midway,
+// no other can resume the stream, and the answer is ended instead of aborted.
+BOOST_AUTO_TEST_CASE(a_partly_delivered_answer_is_completed_resumed_or_aborted)
 {
-    for (const auto end : all_ends)
+    for (const auto outcome : all_outcomes)
     {
         for_all_states(
             [&](attempt_state state)
             {
                 state.partly_delivered = true;
-                const auto step = decide(end, state);
-                const bool right = step == next_step::abort_answer || step == next_step::resume ||
-                                   (step == next_step::deliver && end == attempt_outcome::answered);
-                BOOST_TEST(right);
+                const auto step = decide(outcome, state);
+                const bool valid =
+                    step == next_step::abort_answer || step == next_step::resume ||
+                    (step == next_step::deliver && outcome == attempt_outcome::answered);
+                BOOST_TEST(valid);
             });
     }
 }
 
 BOOST_AUTO_TEST_CASE(no_request_is_sent_to_more_upstreams_than_its_route_allows)
 {
-    for (const auto end : all_ends)
+    for (const auto outcome : all_outcomes)
     {
         for_all_states(
             [&](const attempt_state& state)
             {
-                const auto step = decide(end, state);
-                const bool again = step == next_step::retry || step == next_step::resume;
-                if (again && end != attempt_outcome::unreachable)
+                const auto step = decide(outcome, state);
+                const bool resent = step == next_step::retry || step == next_step::resume;
+                if (resent && outcome != attempt_outcome::unreachable)
                 {
                     BOOST_TEST(state.sent < state.max_sent);
                 }
@@ -121,7 +120,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(an_idempotent_request_whose_answer_was_lost_is_sent_again)
+BOOST_AUTO_TEST_CASE(an_idempotent_request_without_an_answer_is_retried)
 {
     const attempt_state state{.idempotent = true, .sent = 1, .max_sent = 2};
 
@@ -129,7 +128,7 @@
     BOOST_TEST((decide(attempt_outcome::upstream_error, state) == next_step::retry));
 }
 
-BOOST_AUTO_TEST_CASE(a_failure_of_the_upstream_is_delivered_when_nothing_is_left_to_try)
+BOOST_AUTO_TEST_CASE(an_upstream_error_is_delivered_if_no_attempts_are_left)
 {
     const attempt_state state{.idempotent = true, .sent = 2, .max_sent = 2};
 
--- a/tests/routing/test_crash_tracker.cpp
+++ b/tests/routing/test_crash_tracker.cpp
@@ -11,98 +11,97 @@
 {
 
 const base::time_point start(1h);
-const auto culprit = attempts::request_fingerprint{7};
-const auto neighbour = attempts::request_fingerprint{8};
+const auto crashing_request = attempts::request_fingerprint{7};
+const auto harmless_request = attempts::request_fingerprint{8};
 
-base::upstream_id runner(int number)
+base::upstream_id make_upstream(int number)
 {
     return base::upstream_id("u" + std::to_string(number));
 }
 
-/// The process is gone: its connections break, and a new one is refused.
-void crash(crash_tracker& at, int number, attempts::request_fingerprint request,
+/// The process of an upstream ends: its connections are lost, and a new one is refused.
+void crash(crash_tracker& tracker, int number, attempts::request_fingerprint request,
            base::time_point now = start)
 {
-    at.record_lost(runner(number), request, now);
-    at.record_unreachable(runner(number), now + 50ms);
+    tracker.record_lost(make_upstream(number), request, now);
+    tracker.record_unreachable(make_upstream(number), now + 50ms);
 }
 
 }  // namespace
 
 BOOST_AUTO_TEST_SUITE(crash_trackers)
 
-// Symptom: one request took down upstream after upstream, and with each all that ran beside it.
-// Sequence: it crashed one, was sent again by its caller, and crashed the next.
-// Cause: nobody charged the crashes to it.
+// Guards against a request that crashes one upstream after another, and with each upstream all
+// other requests there: its caller sends it again after each crash, and no router links the crashes
+// to it.
 BOOST_AUTO_TEST_CASE(a_request_that_crashed_three_upstreams_is_refused)
 {
-    crash_tracker watch;
-    BOOST_TEST(!watch.has_suspects());
-    crash(watch, 1, culprit);
-    crash(watch, 2, culprit);
-    BOOST_TEST(watch.has_suspects());
-    BOOST_TEST(!watch.refuses(culprit, start));
+    crash_tracker tracker;
+    BOOST_TEST(!tracker.has_suspects());
+    crash(tracker, 1, crashing_request);
+    crash(tracker, 2, crashing_request);
+    BOOST_TEST(tracker.has_suspects());
+    BOOST_TEST(!tracker.refuses(crashing_request, start));
 
-    crash(watch, 3, culprit);
+    crash(tracker, 3, crashing_request);
 
-    BOOST_TEST(watch.refuses(culprit, start));
-    BOOST_TEST(!watch.refuses(neighbour, start));
+    BOOST_TEST(tracker.refuses(crashing_request, start));
+    BOOST_TEST(!tracker.refuses(harmless_request, start));
 }
 
-// Symptom: ordinary requests were refused as if they had crashed upstreams.
-// Sequence: several upstreams reset a part of their answers, again and again, and went on.
-// Cause: broken connections were taken for crashes.
-BOOST_AUTO_TEST_CASE(broken_connections_alone_are_no_crash)
+// Guards against refusing ordinary requests as crashing ones: several upstreams repeatedly reset
+// answers while they keep running, and each lost connection is taken for a crash.
+BOOST_AUTO_TEST_CASE(lost_connections_alone_are_no_crash)
 {
-    crash_tracker watch;
+    crash_tracker tracker;
     for (int number = 1; number <= 6; ++number)
     {
-        watch.record_lost(runner(number), culprit, start);
-        watch.record_lost(runner(number), neighbour, start);
+        tracker.record_lost(make_upstream(number), crashing_request, start);
+        tracker.record_lost(make_upstream(number), harmless_request, start);
     }
 
-    BOOST_TEST(!watch.has_suspects());
+    BOOST_TEST(!tracker.has_suspects());
 }
 
-BOOST_AUTO_TEST_CASE(a_request_that_ran_to_its_end_is_cleared)
+BOOST_AUTO_TEST_CASE(a_completed_request_is_cleared)
 {
-    crash_tracker watch;
-    crash(watch, 1, neighbour);
-    crash(watch, 2, neighbour);
-    watch.record_completed(neighbour, start);
-    crash(watch, 3, neighbour);
+    crash_tracker tracker;
+    crash(tracker, 1, harmless_request);
+    crash(tracker, 2, harmless_request);
+    tracker.record_completed(harmless_request, start);
+    crash(tracker, 3, harmless_request);
 
-    BOOST_TEST(!watch.refuses(neighbour, start));
+    BOOST_TEST(!tracker.refuses(harmless_request, start));
 }
 
-// Symptom: each router had to lose three upstreams of its own to the same request.
-// Sequence: its caller sent it to another router each time. Cause: none told the others.
-BOOST_AUTO_TEST_CASE(routers_add_up_what_they_saw)
+// Guards against each router losing three upstreams to the same request: its caller sends it to
+// another router each time, and the routers do not share their suspects.
+BOOST_AUTO_TEST_CASE(crashes_seen_by_several_routers_add_up)
 {
     crash_tracker here;
     crash_tracker there;
-    crash(here, 1, culprit);
-    crash(here, 2, culprit);
-    crash(there, 3, culprit);
+    crash(here, 1, crashing_request);
+    crash(here, 2, crashing_request);
+    crash(there, 3, crashing_request);
 
-    const auto told = decode(encode(digest{.suspects = here.entries(start)}));
-    BOOST_REQUIRE(told.has_value());
-    there.merge(told.value().suspects, start);
+    const auto received = decode(encode(digest{.suspects = here.entries(start)}));
+    BOOST_REQUIRE(received.has_value());
+    there.merge(received.value().suspects, start);
 
-    BOOST_TEST(there.refuses(culprit, start));
-    BOOST_TEST(!here.refuses(culprit, start));
+    BOOST_TEST(there.refuses(crashing_request, start));
+    BOOST_TEST(!here.refuses(crashing_request, start));
 }
 
-BOOST_AUTO_TEST_CASE(a_refusal_ends)
+BOOST_AUTO_TEST_CASE(a_refusal_expires)
 {
-    crash_tracker watch;
+    crash_tracker tracker;
     for (int number = 1; number <= 3; ++number)
     {
-        crash(watch, number, culprit);
+        crash(tracker, number, crashing_request);
     }
 
-    BOOST_TEST(watch.refuses(culprit, start + 299s));
-    BOOST_TEST(!watch.refuses(culprit, start + 301s));
+    BOOST_TEST(tracker.refuses(crashing_request, start + 299s));
+    BOOST_TEST(!tracker.refuses(crashing_request, start + 301s));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/routing/test_placer.cpp
+++ b/tests/routing/test_placer.cpp
@@ -23,14 +23,14 @@
     scheduling::scheduler_options health_options;
     scheduling::upstream_health health{health_options};
     prefill_pace pace;
-    placer choice{{.zone = base::zone_id("z1")}};
+    placer selector{{.zone = base::zone_id("z1")}};
 
-    void add(const service& of, const std::string& id, const std::string& zone = "z1")
+    void add(const service& owner, const std::string& id, const std::string& zone = "z1")
     {
         directory.put({.id = base::upstream_id(id),
-                       .service = of.id,
+                       .service = owner.id,
                        .zone = base::zone_id(zone),
-                       .slots = of.engine ? of.engine->slots : 6},
+                       .slots = owner.engine ? owner.engine->slots : 6},
                       {.revision = 1, .heard = now});
     }
 
@@ -42,14 +42,14 @@
         }
     }
 
-    void let_engines_hand_on()
+    void enable_cache_transfer()
     {
         engines.engine->transfer_per_token = std::chrono::duration<double, std::milli>(0.0005);
     }
 
     std::optional<placement> place(const placement_request& request)
     {
-        return choice.choose(request, directory, board, health, pace, now);
+        return selector.choose(request, directory, board, health, pace, now);
     }
 };
 
@@ -64,7 +64,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(placers, fixture)
 
-BOOST_AUTO_TEST_CASE(requests_of_one_session_meet_at_one_engine)
+BOOST_AUTO_TEST_CASE(requests_of_a_session_go_to_the_same_engine)
 {
     for (int engine = 0; engine < 18; ++engine)
     {
@@ -82,16 +82,16 @@
     BOOST_TEST(first->load.unread_tokens == 6600);
 }
 
-BOOST_AUTO_TEST_CASE(sessions_spread_over_the_engines)
+BOOST_AUTO_TEST_CASE(sessions_are_spread_over_the_engines)
 {
     for (int engine = 0; engine < 6; ++engine)
     {
         add(engines, "e" + std::to_string(engine));
     }
     std::map<base::upstream_id, int> homes;
-    for (int each = 0; each < 120; ++each)
+    for (int number = 0; number < 120; ++number)
     {
-        const auto parts = session("s" + std::to_string(each));
+        const auto parts = session("s" + std::to_string(number));
         ++homes[place({.requested_service = &engines, .prompt_tokens = 11900, .parts = &parts})
                     ->target.id];
     }
@@ -103,9 +103,9 @@
     }
 }
 
-// Symptom: a hot session's requests waited past their time at one engine while others idled.
-// Cause: a session was kept at its home at any price.
-BOOST_AUTO_TEST_CASE(a_session_leaves_a_home_whose_line_is_longer_than_reading_anew)
+// Guards against requests of a busy session that exceed their latency target at its home while
+// other engines are idle, because nothing outweighs the cached prefix.
+BOOST_AUTO_TEST_CASE(a_session_leaves_a_home_whose_queue_takes_longer_than_another_prefill)
 {
     add(engines, "e1");
     add(engines, "e2");
@@ -119,32 +119,31 @@
     BOOST_TEST(place(request)->target.id != home);
 }
 
-// Symptom: streams on some engines paused for longer than was on time, and prompts waited there,
-// while others had room.
-// Cause: engines that read at two thirds of the others' speed got as much as these.
-BOOST_AUTO_TEST_CASE(a_slower_engine_gets_less)
+// Guards against late stream events and queued prompts at slow engines while others have room:
+// engines with two thirds of the others' prefill speed must not get as many tokens.
+BOOST_AUTO_TEST_CASE(a_slower_engine_gets_fewer_tokens)
 {
     add(engines, "e1");
     add(engines, "e2");
-    for (int seen = 0; seen < 20; ++seen)
+    for (int sample = 0; sample < 20; ++sample)
     {
         pace.record_prefill(base::upstream_id("e1"), 0, 5000, 25ms + 165ms, now);
         pace.record_prefill(base::upstream_id("e2"), 0, 5000, 25ms + 110ms, now);
         pace.refresh(now);
     }
     std::map<base::upstream_id, std::uint64_t> tokens;
-    for (int each = 0; each < 50; ++each)
+    for (int number = 0; number < 50; ++number)
     {
-        const auto where =
+        const auto chosen =
             place({.requested_service = &engines, .prompt_tokens = 5000, .max_wait = 10000ms});
-        tokens[where->target.id] += 5000;
-        board.begin(where->target.id, {.unread_tokens = 5000});
+        tokens[chosen->target.id] += 5000;
+        board.begin(chosen->target.id, {.unread_tokens = 5000});
     }
 
     BOOST_TEST(tokens[base::upstream_id("e1")] * 10 < tokens[base::upstream_id("e2")] * 8);
 }
 
-BOOST_AUTO_TEST_CASE(a_part_that_was_read_is_known_where_it_was_read)
+BOOST_AUTO_TEST_CASE(a_part_counts_as_cached_where_it_was_sent)
 {
     add(engines, "e1");
     add(engines, "e2");
@@ -154,18 +153,17 @@
     const auto home = place(request)->target.id;
     const base::upstream_id other(home.str() == "e1" ? "e2" : "e1");
 
-    choice.record_sent(other, parts, now);
+    selector.record_sent(other, parts, now);
     board.begin(home, {.running = 1, .unread_tokens = 6000});
 
     BOOST_TEST(place(request)->target.id == other);
     BOOST_TEST(place(request)->load.unread_tokens == 6600);
 }
 
-// Symptom: while workspaces within their shares waited, engines read the same session's parts a
-// third and a fourth time; a seventh of a busy day's worth went there.
-// Sequence: a flooding workspace's requests found their sessions' homes full and went on to others.
-// Cause: work beyond its share could have any engine read anything anew.
-BOOST_AUTO_TEST_CASE(work_that_gives_way_has_no_parts_read_anew_but_at_its_homes)
+// Guards against a seventh of the capacity being lost to repeated prefill while workspaces within
+// their shares wait: requests of a flooding workspace find the homes of their sessions full, and go
+// to other engines that prefill the same parts a third and a fourth time.
+BOOST_AUTO_TEST_CASE(requests_beyond_their_share_repeat_prefill_only_at_their_homes)
 {
     for (int engine = 0; engine < 6; ++engine)
     {
@@ -186,7 +184,7 @@
     BOOST_TEST(place(request).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(an_engine_whose_slots_are_taken_gets_nothing)
+BOOST_AUTO_TEST_CASE(an_engine_without_free_slots_gets_no_requests)
 {
     add(engines, "e1");
     board.begin(base::upstream_id("e1"), {.running = 32});
@@ -194,7 +192,7 @@
     BOOST_TEST(!place({.requested_service = &engines, .prompt_tokens = 10}).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(work_beyond_its_share_leaves_some_slots_free)
+BOOST_AUTO_TEST_CASE(requests_beyond_their_share_leave_some_slots_free)
 {
     add(engines, "e1");
     board.begin(base::upstream_id("e1"), {.running = 16});
@@ -204,9 +202,9 @@
     BOOST_TEST(place({.requested_service = &engines, .prompt_tokens = 10}).has_value());
 }
 
-// Symptom: the newest request of an engine was read again from its start, again and again.
-// Cause: an engine that runs out of memory puts its newest request back.
-BOOST_AUTO_TEST_CASE(an_engine_gets_no_more_than_its_memory_holds)
+// Guards against repeated prefill of the newest request of an engine, which the engine preempts
+// whenever it runs out of memory.
+BOOST_AUTO_TEST_CASE(an_engine_gets_no_more_than_fits_in_its_kv_cache)
 {
     add(engines, "e1");
     board.begin(base::upstream_id("e1"), {.running = 5, .held_tokens = 545000});
@@ -215,7 +213,7 @@
     BOOST_TEST(place({.requested_service = &engines, .prompt_tokens = 4000}).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(a_prompt_larger_than_the_accepted_wait_still_finds_an_idle_engine)
+BOOST_AUTO_TEST_CASE(a_prompt_longer_than_the_maximum_wait_is_placed_at_an_idle_engine)
 {
     add(engines, "e1");
 
@@ -223,7 +221,7 @@
                    .has_value());
 }
 
-BOOST_AUTO_TEST_CASE(plain_calls_go_to_the_emptiest_and_rather_to_the_own_zone)
+BOOST_AUTO_TEST_CASE(plain_calls_prefer_lower_load_and_the_own_zone)
 {
     add(plain, "near", "z1");
     add(plain, "far", "z2");
@@ -242,9 +240,9 @@
         !place({.requested_service = &plain, .tried = {base::upstream_id("a")}}).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(what_an_engine_lacks_it_takes_from_the_home_of_the_session)
+BOOST_AUTO_TEST_CASE(uncached_parts_are_fetched_from_the_home_of_the_session)
 {
-    let_engines_hand_on();
+    enable_cache_transfer();
     const auto parts = session("s1");
     placement_request request{
         .requested_service = &engines, .prompt_tokens = 11900, .parts = &parts};
@@ -259,9 +257,9 @@
     BOOST_TEST(elsewhere->target.id != home.id);
 }
 
-BOOST_AUTO_TEST_CASE(nothing_is_taken_from_a_home_that_cannot_hold_it)
+BOOST_AUTO_TEST_CASE(nothing_is_fetched_from_a_home_that_cannot_have_it_cached)
 {
-    let_engines_hand_on();
+    enable_cache_transfer();
     const auto parts = session("s1");
     placement_request request{
         .requested_service = &engines, .prompt_tokens = 11900, .parts = &parts};
@@ -286,12 +284,12 @@
     }
     BOOST_TEST(health.ejected(home.id, now) != place(request)->cache_source.has_value());
 
-    // Its zone is drained: it has another home.
+    // With its zone drained, no upstream is left.
     directory.note_zone({.zone = base::zone_id("z1"), .drained = true, .revision = 1});
     BOOST_TEST(!place(request).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(small_parts_and_engines_that_cannot_hand_on_are_read)
+BOOST_AUTO_TEST_CASE(small_parts_are_not_fetched_nor_from_engines_without_transfer)
 {
     const std::vector<prompt_part> small{
         {.id = "system", .tokens = 119}, {.id = "s1", .tokens = 80}, {.id = "own", .tokens = 400}};
@@ -302,14 +300,14 @@
     board.begin(place(request)->target.id, {.running = 32});
     BOOST_TEST(!place(request)->cache_source.has_value());
 
-    let_engines_hand_on();
+    enable_cache_transfer();
     request.parts = &small;
     request.prompt_tokens = 599;
     board.begin(place(request)->target.id, {.running = 32});
     BOOST_TEST(!place(request)->cache_source.has_value());
 }
 
-BOOST_AUTO_TEST_CASE(among_thousands_a_session_finds_its_home_and_others_spread)
+BOOST_AUTO_TEST_CASE(in_a_large_service_sessions_go_home_and_other_requests_spread)
 {
     for (int engine = 0; engine < 3000; ++engine)
     {
@@ -320,9 +318,9 @@
         .requested_service = &engines, .prompt_tokens = 11900, .parts = &parts};
     std::map<base::upstream_id, int> homes;
     std::map<base::upstream_id, int> others;
-    for (int each = 0; each < 30; ++each)
+    for (int number = 0; number < 30; ++number)
     {
-        request.random_unit = each / 30.0;
+        request.random_unit = number / 30.0;
         request.parts = &parts;
         ++homes[place(request)->target.id];
         request.parts = nullptr;
@@ -332,8 +330,8 @@
     BOOST_TEST(others.size() >= 25U);
 }
 
-// Guards against engines that idle as no request happens to be compared with them.
-BOOST_AUTO_TEST_CASE(among_thousands_the_only_free_engine_is_found)
+// Guards against engines that stay idle because they are in no sample.
+BOOST_AUTO_TEST_CASE(in_a_large_service_the_only_free_engine_is_found)
 {
     for (int engine = 0; engine < 3000; ++engine)
     {
--- a/tests/routing/test_prefill_pace.cpp
+++ b/tests/routing/test_prefill_pace.cpp
@@ -9,19 +9,19 @@
 namespace
 {
 
-const base::time_point now(1h);
+const base::time_point start(1h);
 const base::upstream_id engine("e1");
 const base::upstream_id other("e2");
 
-void read(prefill_pace& by, const base::upstream_id& id, double ms_per_token, int times,
-          base::time_point at)
+void record_samples(prefill_pace& pace, const base::upstream_id& id, double ms_per_token, int count,
+                    base::time_point now)
 {
-    for (int each = 0; each < times; ++each)
+    for (int number = 0; number < count; ++number)
     {
-        const auto reading = std::chrono::duration<double, std::milli>(4000 * ms_per_token);
-        by.record_prefill(id, 0, 4000, 25ms + std::chrono::duration_cast<base::duration>(reading),
-                          at);
-        by.refresh(at);
+        const auto prefill = std::chrono::duration<double, std::milli>(4000 * ms_per_token);
+        pace.record_prefill(id, 0, 4000, 25ms + std::chrono::duration_cast<base::duration>(prefill),
+                            now);
+        pace.refresh(now);
     }
 }
 
@@ -29,67 +29,67 @@
 
 BOOST_AUTO_TEST_SUITE(prefill_paces)
 
-// Nothing of the deployments is known in advance: engines of two speeds, both far from the first
-// guess, are told apart.
-BOOST_AUTO_TEST_CASE(an_engines_pace_is_learned_whatever_it_is)
+// The speed of a deployment's engines is not known in advance: two speeds, both far from the
+// initial estimate, have to be learned.
+BOOST_AUTO_TEST_CASE(the_prefill_pace_of_an_engine_is_learned)
 {
-    for (const double pace : {0.006, 0.06})
+    for (const double actual : {0.006, 0.06})
     {
-        prefill_pace by;
-        read(by, engine, pace, 40, now);
-        BOOST_TEST(by.ms_per_token(engine) == pace, boost::test_tools::tolerance(0.1));
+        prefill_pace pace;
+        record_samples(pace, engine, actual, 40, start);
+        BOOST_TEST(pace.ms_per_token(engine) == actual, boost::test_tools::tolerance(0.1));
     }
 }
 
-BOOST_AUTO_TEST_CASE(an_engine_that_nobody_saw_is_taken_for_a_usual_one)
+BOOST_AUTO_TEST_CASE(an_engine_without_samples_is_assumed_to_be_average)
 {
-    prefill_pace by;
-    read(by, engine, 0.06, 40, now);
+    prefill_pace pace;
+    record_samples(pace, engine, 0.06, 40, start);
 
-    BOOST_TEST(by.ms_per_token(other) == 0.06, boost::test_tools::tolerance(0.1));
+    BOOST_TEST(pace.ms_per_token(other) == 0.06, boost::test_tools::tolerance(0.1));
 }
 
-BOOST_AUTO_TEST_CASE(an_engine_that_turns_slow_is_known_to_be_within_seconds)
+BOOST_AUTO_TEST_CASE(an_engine_that_slows_down_is_detected_within_seconds)
 {
-    prefill_pace by;
-    read(by, engine, 0.02, 40, now);
-    read(by, engine, 0.08, 20, now + 10s);
+    prefill_pace pace;
+    record_samples(pace, engine, 0.02, 40, start);
+    record_samples(pace, engine, 0.08, 20, start + 10s);
 
-    BOOST_TEST(by.ms_per_token(engine) > 0.04);
+    BOOST_TEST(pace.ms_per_token(engine) > 0.04);
 }
 
-BOOST_AUTO_TEST_CASE(what_other_routers_saw_counts_as_own)
+BOOST_AUTO_TEST_CASE(records_of_peers_count_until_they_expire)
 {
     prefill_pace here;
     prefill_pace there;
-    read(there, engine, 0.05, 40, now);
-    here.set_peer(base::node_id("there"), there.own_records(now), now);
-    here.refresh(now);
+    record_samples(there, engine, 0.05, 40, start);
+    here.set_peer(base::node_id("there"), there.own_records(start), start);
+    here.refresh(start);
 
     BOOST_TEST(here.ms_per_token(engine) == 0.05, boost::test_tools::tolerance(0.1));
-    here.refresh(now + 30s);
+    here.refresh(start + 30s);
     BOOST_TEST(here.ms_per_token(engine) < 0.03);
 }
 
-BOOST_AUTO_TEST_CASE(short_prompts_and_those_behind_others_say_nothing)
+BOOST_AUTO_TEST_CASE(short_and_queued_prompts_are_ignored)
 {
-    prefill_pace by;
-    by.record_prefill(engine, 0, 200, 300ms, now);
-    by.record_prefill(engine, 9000, 2000, 3s, now);
+    prefill_pace pace;
+    pace.record_prefill(engine, 0, 200, 300ms, start);
+    pace.record_prefill(engine, 9000, 2000, 3s, start);
 
-    BOOST_TEST(by.own_records(now).empty());
+    BOOST_TEST(pace.own_records(start).empty());
 }
 
-// Symptom: an engine got no prompts for seconds after one of them had taken unusually long.
-// Cause: a prompt that met another router's, not told of yet, counted as slow reading.
-BOOST_AUTO_TEST_CASE(one_prompt_that_took_long_moves_the_pace_little)
+// Guards against an engine that gets no prompts for seconds after one slow sample: a prompt queued
+// behind one of another router, which is not reported yet, looks like slow prefill.
+BOOST_AUTO_TEST_CASE(one_slow_sample_changes_the_pace_little)
 {
-    prefill_pace by;
-    read(by, engine, 0.02, 20, now);
-    by.record_prefill(engine, 0, 4000, 5s, now);
-    by.refresh(now);
+    prefill_pace pace;
+    record_samples(pace, engine, 0.02, 20, start);
+    pace.record_prefill(engine, 0, 4000, 5s, start);
+    pace.refresh(start);
 
-    BOOST_TEST(by.ms_per_token(engine) < 0.025);
+    BOOST_TEST(pace.ms_per_token(engine) < 0.025);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/routing/test_slow_start.cpp
+++ b/tests/routing/test_slow_start.cpp
@@ -20,11 +20,11 @@
 const base::service_id engines("engines");
 const base::time_point start(1h);
 constexpr double rate = 10;
-/// The users' bound on what a cold upstream may get in any second: rate x 1.5 + 5.
-constexpr std::size_t allowed = 20;
-constexpr auto lasts = 3000ms;
+/// Bound that users set for requests to a cold upstream in any second: rate x 1.5 + 5.
+constexpr std::size_t max_per_second = 20;
+constexpr auto warmup = 3000ms;
 
-upstream make(const std::string& id)
+upstream make_upstream(const std::string& id)
 {
     return {.id = base::upstream_id(id), .service = engines, .hash = scheduling::stable_hash(id)};
 }
@@ -32,11 +32,11 @@
 slow_start make_router(const std::string& name)
 {
     slow_start out{base::node_id(name)};
-    out.set_limits({{engines, {.duration = lasts, .requests_per_s = rate}}});
+    out.set_limits({{engines, {.duration = warmup, .requests_per_s = rate}}});
     return out;
 }
 
-/// Routers that each have more requests than cold upstreams bear, and send wherever they may.
+/// Routers that each have more requests than the cold upstreams accept, and send all that they may.
 struct fleet
 {
     std::vector<slow_start> routers;
@@ -48,105 +48,105 @@
 
     fleet(std::size_t count, std::size_t cold) : alive(count, true)
     {
-        for (std::size_t each = 0; each < count; ++each)
+        for (std::size_t index = 0; index < count; ++index)
         {
-            names.emplace_back("r" + std::to_string(each));
+            names.emplace_back("r" + std::to_string(index));
             routers.push_back(make_router(names.back().str()));
         }
-        for (std::size_t each = 0; each < cold; ++each)
+        for (std::size_t index = 0; index < cold; ++index)
         {
-            upstreams.push_back(make("u" + std::to_string(each)));
+            upstreams.push_back(make_upstream("u" + std::to_string(index)));
         }
     }
 
-    /// What a router sees that doesn't hear each other one with that probability.
-    fleet_view view(std::size_t of, double unheard)
+    /// View of a router that misses each peer with the given probability.
+    fleet_view view(std::size_t self, double miss_probability)
     {
         fleet_view out;
-        std::bernoulli_distribution misses(unheard);
-        for (std::size_t each = 0; each < names.size(); ++each)
+        std::bernoulli_distribution misses(miss_probability);
+        for (std::size_t index = 0; index < names.size(); ++index)
         {
-            if (each != of && !misses(random))
+            if (index != self && !misses(random))
             {
-                out.peers.push_back(names[each]);
+                out.peers.push_back(names[index]);
             }
         }
         return out;
     }
 
-    void see(double unheard)
+    void update_views(double miss_probability)
     {
-        for (std::size_t each = 0; each < routers.size(); ++each)
+        for (std::size_t index = 0; index < routers.size(); ++index)
         {
-            routers[each].set_fleet(view(each, unheard));
+            routers[index].set_fleet(view(index, miss_probability));
         }
     }
 
-    void become_cold()
+    void mark_cold()
     {
         for (auto& router : routers)
         {
-            for (const auto& each : upstreams)
+            for (const auto& target : upstreams)
             {
-                router.record_cold(each, lasts, start);
+                router.record_cold(target, warmup, start);
             }
         }
     }
 
-    /// Every second router dies, and each of the rest knows it with that probability.
-    void lose_half(double known)
+    /// Every second router fails; each of the others notices with the given probability.
+    void lose_half(double notice_probability)
     {
-        std::bernoulli_distribution knows(known);
-        for (std::size_t each = 0; each < routers.size(); each += 2)
+        std::bernoulli_distribution notices(notice_probability);
+        for (std::size_t index = 0; index < routers.size(); index += 2)
         {
-            alive[each + 1 < alive.size() ? each + 1 : each] = false;
-            auto seen = view(each, 0);
-            if (knows(random))
+            alive[index + 1 < alive.size() ? index + 1 : index] = false;
+            auto peers_seen = view(index, 0);
+            if (notices(random))
             {
-                std::erase_if(seen.peers,
+                std::erase_if(peers_seen.peers,
                               [](const auto& id) { return (id.str().back() - '0') % 2 == 1; });
             }
-            routers[each].set_fleet(seen);
+            routers[index].set_fleet(peers_seen);
         }
     }
 
-    struct outcome
+    struct load_result
     {
-        /// At one upstream in any second.
-        std::size_t most = 0;
+        /// Requests to one upstream in any second.
+        std::size_t highest_rate = 0;
         std::size_t total = 0;
     };
 
-    outcome play(std::chrono::milliseconds from, std::chrono::milliseconds to)
+    load_result run(std::chrono::milliseconds from, std::chrono::milliseconds to)
     {
         last_second.resize(upstreams.size());
-        outcome out;
+        load_result out;
         for (auto now = start + from; now < start + to; now += 10ms)
         {
-            for (std::size_t each = 0; each < routers.size(); ++each)
+            for (std::size_t index = 0; index < routers.size(); ++index)
             {
-                if (alive[each])
+                if (alive[index])
                 {
-                    send(routers[each], now, out);
+                    send(routers[index], now, out);
                 }
             }
         }
         return out;
     }
 
-    void send(slow_start& router, base::time_point now, outcome& out)
+    void send(slow_start& router, base::time_point now, load_result& out)
     {
-        for (std::size_t each = 0; each < upstreams.size(); ++each)
+        for (std::size_t index = 0; index < upstreams.size(); ++index)
         {
-            if (!router.may_send(upstreams[each], now))
+            if (!router.may_send(upstreams[index], now))
             {
                 continue;
             }
-            router.record_sent(upstreams[each], now);
-            auto& sent = last_second[each];
+            router.record_sent(upstreams[index], now);
+            auto& sent = last_second[index];
             sent.push_back(now);
-            std::erase_if(sent, [&](auto at) { return at + 1s <= now; });
-            out.most = std::max(out.most, sent.size());
+            std::erase_if(sent, [&](auto time) { return time + 1s <= now; });
+            out.highest_rate = std::max(out.highest_rate, sent.size());
             ++out.total;
         }
     }
@@ -156,94 +156,95 @@
 
 BOOST_AUTO_TEST_SUITE(slow_starts)
 
-BOOST_AUTO_TEST_CASE(a_warm_upstream_takes_what_comes)
+BOOST_AUTO_TEST_CASE(a_warm_upstream_has_no_limit)
 {
     auto router = make_router("r1");
-    const auto warm = make("u1");
-    for (int each = 0; each < 100; ++each)
+    const auto warm = make_upstream("u1");
+    for (int request = 0; request < 100; ++request)
     {
         BOOST_TEST(router.may_send(warm, start));
         router.record_sent(warm, start);
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_cold_upstream_is_warm_when_its_time_is_over)
+BOOST_AUTO_TEST_CASE(a_cold_upstream_is_warm_after_its_warmup)
 {
     auto router = make_router("r1");
-    const auto which = make("u1");
-    BOOST_TEST(router.record_cold(which, 800ms, start));
-    BOOST_TEST(!router.record_cold(which, 500ms, start + 200ms));
-
-    BOOST_TEST(router.is_cold(which.id, start + 799ms));
-    BOOST_TEST(!router.may_send(which, start + 799ms));
-    BOOST_TEST(router.may_send(which, start + 800ms));
-    BOOST_TEST((router.expire(start + 800ms) == std::vector{which.id}));
+    const auto target = make_upstream("u1");
+    BOOST_TEST(router.record_cold(target, 800ms, start));
+    BOOST_TEST(!router.record_cold(target, 500ms, start + 200ms));
+
+    BOOST_TEST(router.is_cold(target.id, start + 799ms));
+    BOOST_TEST(!router.may_send(target, start + 799ms));
+    BOOST_TEST(router.may_send(target, start + 800ms));
+    BOOST_TEST((router.expire(start + 800ms) == std::vector{target.id}));
     BOOST_TEST(!router.any_cold());
 }
 
-BOOST_AUTO_TEST_CASE(services_that_tell_no_rate_bear_what_comes)
+BOOST_AUTO_TEST_CASE(services_without_a_rate_have_no_limit)
 {
     slow_start router{base::node_id("r1")};
-    router.record_cold(make("u1"), 3000ms, start);
-    BOOST_TEST(router.may_send(make("u1"), start));
+    router.record_cold(make_upstream("u1"), 3000ms, start);
+    BOOST_TEST(router.may_send(make_upstream("u1"), start));
 }
 
-// Guards against upstreams that are listed before the configuration is known.
-BOOST_AUTO_TEST_CASE(the_rate_may_be_told_after_the_upstream)
+// Guards against unlimited requests to upstreams that are listed before the configuration is known.
+BOOST_AUTO_TEST_CASE(the_rate_may_be_set_after_the_upstream_is_listed)
 {
     slow_start router{base::node_id("r1")};
-    router.record_cold(make("u1"), 3000ms, start);
-    router.set_limits({{engines, {.duration = lasts, .requests_per_s = rate}}});
-    BOOST_TEST(!router.may_send(make("u1"), start));
+    router.record_cold(make_upstream("u1"), 3000ms, start);
+    router.set_limits({{engines, {.duration = warmup, .requests_per_s = rate}}});
+    BOOST_TEST(!router.may_send(make_upstream("u1"), start));
 }
 
-BOOST_AUTO_TEST_CASE(a_router_that_hears_too_few_sends_to_no_cold_upstream)
+BOOST_AUTO_TEST_CASE(an_isolated_router_sends_to_no_cold_upstream)
 {
     auto router = make_router("r1");
-    const auto which = make("u1");
-    router.record_cold(which, 3000ms, start);
-    BOOST_TEST(!router.may_send(which, start));
+    const auto target = make_upstream("u1");
+    router.record_cold(target, 3000ms, start);
+    BOOST_TEST(!router.may_send(target, start));
     router.set_fleet({.isolated = true});
-    BOOST_TEST(!router.may_send(which, start));
+    BOOST_TEST(!router.may_send(target, start));
     router.set_fleet({});
-    BOOST_TEST(router.may_send(which, start));
+    BOOST_TEST(router.may_send(target, start));
 }
 
-BOOST_DATA_TEST_CASE(a_zone_that_is_taken_back_cold_gets_no_more_than_it_bears,
+BOOST_DATA_TEST_CASE(a_cold_zone_taken_back_into_service_stays_within_its_limit,
                      boost::unit_test::data::make({1, 8, 91, 300}), count)
 {
-    fleet all(static_cast<std::size_t>(count), 30);
-    all.see(0);
-    all.become_cold();
-    const auto got = all.play(0ms, lasts);
-
-    BOOST_TEST(got.most <= allowed);
-    // It doesn't idle either: half of what it bears is used at least.
-    BOOST_TEST(static_cast<double>(got.total) >= 0.5 * rate * 3 * 30);
+    fleet simulation(static_cast<std::size_t>(count), 30);
+    simulation.update_views(0);
+    simulation.mark_cold();
+    const auto result = simulation.run(0ms, warmup);
+
+    BOOST_TEST(result.highest_rate <= max_per_second);
+    // The upstreams are not left idle: at least half of the accepted rate is used.
+    BOOST_TEST(static_cast<double>(result.total) >= 0.5 * rate * 3 * 30);
 }
 
-// Guards against routers that take themselves for one of the few that send: each hears others late
-// or not at all.
-BOOST_DATA_TEST_CASE(views_that_differ_by_a_twentieth_break_no_bound,
+// Guards against too many senders: a router that receives the digests of some peers late or not at
+// all may consider itself a sender.
+BOOST_DATA_TEST_CASE(the_limit_holds_if_views_differ_by_a_twentieth,
                      boost::unit_test::data::make({8, 91, 300}), count)
 {
-    fleet all(static_cast<std::size_t>(count), 30);
-    all.see(0.05);
-    all.become_cold();
-    BOOST_TEST(all.play(0ms, lasts).most <= allowed);
+    fleet simulation(static_cast<std::size_t>(count), 30);
+    simulation.update_views(0.05);
+    simulation.mark_cold();
+    BOOST_TEST(simulation.run(0ms, warmup).highest_rate <= max_per_second);
 }
 
-// Guards against half of a fleet that dies: the rest move up, some earlier than others.
-BOOST_AUTO_TEST_CASE(half_of_the_fleet_may_die_meanwhile)
+// Guards against too many senders after half of the fleet fails: the remaining routers take over as
+// senders, some earlier than others.
+BOOST_AUTO_TEST_CASE(the_limit_holds_while_half_of_the_fleet_fails)
 {
-    fleet all(92, 30);
-    all.see(0);
-    all.become_cold();
-    BOOST_TEST(all.play(0ms, 500ms).most <= allowed);
-    all.lose_half(0.5);
-    BOOST_TEST(all.play(500ms, 1500ms).most <= allowed);
-    all.lose_half(1);
-    BOOST_TEST(all.play(1500ms, lasts).most <= allowed);
+    fleet simulation(92, 30);
+    simulation.update_views(0);
+    simulation.mark_cold();
+    BOOST_TEST(simulation.run(0ms, 500ms).highest_rate <= max_per_second);
+    simulation.lose_half(0.5);
+    BOOST_TEST(simulation.run(500ms, 1500ms).highest_rate <= max_per_second);
+    simulation.lose_half(1);
+    BOOST_TEST(simulation.run(1500ms, warmup).highest_rate <= max_per_second);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
