--- a/src/libcaraway/router/core.cpp
+++ b/src/libcaraway/router/core.cpp
@@ -64,10 +64,10 @@
     return true;
 }
 
-bool core::note_zone(const routing::zone_statement& what, std::string_view from)
+bool core::note_zone(const routing::zone_update& what, std::string_view from)
 {
     const bool known = options.zones.empty() || options.zones.contains(what.zone);
-    if (!known || !directory.note_zone(what))
+    if (!known || !directory.record_zone(what))
     {
         return false;
     }
@@ -116,7 +116,7 @@
 {
     if (table_)
     {
-        shares.set_capacity(table_->accepted().tokens_per_second * directory.part_in_use());
+        shares.set_capacity(table_->accepted().tokens_per_second * directory.undrained_fraction());
     }
 }
 
--- a/src/libcaraway/router/core.hpp
+++ b/src/libcaraway/router/core.hpp
@@ -55,7 +55,7 @@
 
     /// An operator said that an availability zone gets no new requests, or that it does again.
     /// Whether that is news.
-    bool note_zone(const routing::zone_statement& what, std::string_view from);
+    bool note_zone(const routing::zone_update& what, std::string_view from);
     /// It is cold for so long, as somebody says; 0: it isn't.
     void note_cold(const routing::upstream& which, std::chrono::milliseconds left,
                    std::string_view because);
--- a/src/libcaraway/router/daemon.cpp
+++ b/src/libcaraway/router/daemon.cpp
@@ -184,20 +184,20 @@
         account_second(now);
         next_rate_ = now + rate_period;
     }
-    drop_missing(now);
-    follow_warmups(now);
+    expire_deferred_removals(now);
+    update_warmups(now);
     core_.expire_waiting();
     core_.pump();
     choose_source(now);
     link_.tell();
     ask_peers(now);
-    tell_store(now);
+    sync_routers_table(now);
     if (now >= next_sweep_)
     {
         next_sweep_ = now + sweep_period;
         core_.pool.sweep();
         peers_.forget_old(now);
-        set_shares_of_limits();
+        update_limits_per_router();
         core_.set_share_capacity();
     }
     if (now >= next_reload_)
@@ -310,7 +310,7 @@
 
 bool daemon::ready() const
 {
-    return !is_stopping() && knows_all();
+    return !is_stopping() && has_tables();
 }
 
 }  // namespace caraway::router
--- a/src/libcaraway/router/daemon.hpp
+++ b/src/libcaraway/router/daemon.hpp
@@ -80,36 +80,36 @@
     routing::table_state tables() const;
     /// Tells the zone at once of what the store changed: the copy's mark is another.
     void tell_changes(std::uint64_t mark);
-    void tell_store(base::time_point now);
+    void sync_routers_table(base::time_point now);
     void write_own_row(base::time_point now);
     /// Learn of other routers: from the store, or from a peer that asks it.
     void read_routers(base::time_point now);
-    void ask_for_routers(base::time_point now);
+    void request_routers_from_peer(base::time_point now);
     void schedule_routers_read(base::time_point now);
     void progress_stop(base::time_point now);
-    void set_shares_of_limits();
+    void update_limits_per_router();
 
     /// Rows of the table with the configuration; all of them if `whole_at`.
-    void take_operator_rows(const std::vector<row>& rows, std::optional<std::uint64_t> whole_at);
+    void apply_operator_rows(const std::vector<row>& rows, std::optional<std::uint64_t> whole_at);
     /// The drained zone that the row tells of, if it does.
     std::optional<base::zone_id> drained_zone_of(const row& from);
-    void take_configuration(const std::string& text, std::string_view from);
+    void apply_configuration(const std::string& text, std::string_view from);
     /// `from` names the store or the peer that told them. A whole listing is current up to
     /// `whole_at`.
-    void take_upstreams(const std::vector<row>& rows, std::optional<std::uint64_t> whole_at,
-                        std::string_view from);
+    void apply_upstreams(const std::vector<row>& rows, std::optional<std::uint64_t> whole_at,
+                         std::string_view from);
     /// Whether it is one that wasn't known, or that leaves now.
-    bool take_upstream(const row& each);
-    void log_news(const std::vector<const row*>& news, std::string_view from);
+    bool apply_upstream(const row& each);
+    void log_upstreams(const std::vector<const row*>& news, std::string_view from);
     void log_removed(const base::upstream_id& id, std::string_view from, std::uint64_t revision,
                      std::string_view outcome);
     /// How long it stays cold, by its entry or as it has just appeared.
-    void note_warmup(const routing::upstream& entry, bool appeared);
-    void follow_warmups(base::time_point now);
+    void record_warmup(const routing::upstream& entry, bool appeared);
+    void update_warmups(base::time_point now);
     /// Drops upstreams whose removal waited until nothing could bring them back.
-    void drop_missing(base::time_point now);
+    void expire_deferred_removals(base::time_point now);
     /// An entry that doesn't tell of an upstream that may be used.
-    void drop_unreadable(const row& from, const base::error& why);
+    void discard_unreadable(const row& from, const base::error& why);
     void take_routers(const std::vector<row>& rows);
     /// Whether this router's upstreams are those that the copy tells of now.
     bool take_copy(const table_copy& copy);
@@ -134,7 +134,7 @@
     {
         return stopping_since_.has_value();
     }
-    bool knows_all() const;
+    bool has_tables() const;
 
     void answer_readiness(const std::shared_ptr<http::exchange>& request);
     void answer_directory(const std::shared_ptr<http::exchange>& request);
--- a/src/libcaraway/router/daemon_answers.cpp
+++ b/src/libcaraway/router/daemon_answers.cpp
@@ -123,7 +123,7 @@
     set("caraway_upstreams_cold", "Upstreams believed to be cold.",
         static_cast<double>(core_.cold.size()));
     set("caraway_zones_drained", "Availability zones whose upstreams get nothing new.",
-        static_cast<double>(core_.directory.zones().drained()));
+        static_cast<double>(core_.directory.zones().drained_count()));
     set("caraway_peers", "Other routers known.", static_cast<double>(peers_.size()));
     set("caraway_streams", "Requests for engines under way.", static_cast<double>(core_.streams));
     set("caraway_overloaded", "1 while the processor's limit is reached.",
--- a/src/libcaraway/router/daemon_peers.cpp
+++ b/src/libcaraway/router/daemon_peers.cpp
@@ -35,7 +35,7 @@
     }
     if (!core_.options.seeds.empty() && link_.unanswered() >= core_.options.seeds.size())
     {
-        relay_.stop_relying();
+        relay_.stop_waiting_for_peers();
     }
 }
 
@@ -50,7 +50,7 @@
         return peers_.all().at(*source).control;
     }
     const bool lost = upstreams_->lost() || configurations_->lost();
-    if (!lost && knows_all())
+    if (!lost && has_tables())
     {
         return std::nullopt;
     }
@@ -79,13 +79,13 @@
 {
     if (upstreams_->lost())
     {
-        relay_.note_lost(now);
+        relay_.record_store_unreachable(now);
     }
     relay_.set_leaving_notice(core_.options.leaving_notice);
     const auto own = tables();
-    relay_.set_own(core_.options.capacity, own, knows_all(), now);
-    tell_changes(own.mark);
-    const bool follows = relay_.follows(now);
+    relay_.set_own_state(core_.options.capacity, own, has_tables(), now);
+    tell_changes(own.content_hash);
+    const bool follows = relay_.should_poll_store(now);
     choose_configuration_source(follows);
     if (follows != upstreams_->resting())
     {
@@ -100,7 +100,7 @@
     {
         upstreams_->rest();
     }
-    set_shares_of_limits();
+    update_limits_per_router();
 }
 
 /// A router in a flood takes seconds to ask a peer: four turns of its loop. The store holds a call
@@ -119,11 +119,11 @@
 
 routing::table_state daemon::tables() const
 {
-    return {.follows = !upstreams_->resting(),
-            .lost = relay_.lost(core_.now()),
-            .answers = upstreams_->answers(),
+    return {.polls_store = !upstreams_->resting(),
+            .store_unreachable = relay_.is_store_unreachable(core_.now()),
+            .answer_count = upstreams_->answers(),
             .revision = upstreams_->revision(),
-            .mark = core_.directory.mark()};
+            .content_hash = core_.directory.content_hash()};
 }
 
 void daemon::tell_changes(std::uint64_t mark)
@@ -155,7 +155,7 @@
 {
     if (copy.version > core_.version())
     {
-        take_configuration(copy.configuration, "peer");
+        apply_configuration(copy.configuration, "peer");
     }
     for (const auto& each : copy.zones)
     {
@@ -179,8 +179,8 @@
                                  {"partial", copy.partial},
                                  {"upstreams", copy.upstreams.size()}});
     const auto whole_at = copy.partial ? std::nullopt : std::optional(copy.state.revision);
-    take_upstreams(copy.upstreams, whole_at, copy.from.str());
-    const bool same = core_.directory.mark() == copy.state.mark;
+    apply_upstreams(copy.upstreams, whole_at, copy.from.str());
+    const bool same = core_.directory.content_hash() == copy.state.content_hash;
     if (copy.partial && !same)
     {
         // Not taken for a copy of it: the next one is whole.
@@ -189,7 +189,7 @@
     if (resting)
     {
         upstreams_->adopt(copy.state.revision);
-        relay_.note_copied(copy.from, copy.state, core_.now());
+        relay_.record_copy(copy.from, copy.state, core_.now());
     }
     return same;
 }
@@ -199,7 +199,7 @@
 const std::string& daemon::copy_for(base::config_version peer_has)
 {
     const auto now = core_.now();
-    const auto mark = core_.directory.mark();
+    const auto mark = core_.directory.content_hash();
     auto& told = peer_has < core_.version() ? told_with_ : told_without_;
     const bool current = told.version == core_.version() && told.mark == mark &&
                          now - told.made < copy_lifetime && !told.text.empty();
@@ -219,7 +219,7 @@
                     .at = {.life = life_, .changes = core_.directory.changes().position()},
                     .version = core_.version(),
                     .state = tables(),
-                    .zones = core_.directory.zones().statements()};
+                    .zones = core_.directory.zones().updates()};
     if (peer_has < copy.version)
     {
         copy.configuration = configuration_text_;
@@ -320,7 +320,7 @@
         out.readings = core_.pace.own(now);
     }
     out.leaving = core_.directory.leaving(now);
-    out.zones = core_.directory.zones().statements();
+    out.zones = core_.directory.zones().updates();
     out.tables = tables();
     return out;
 }
--- a/src/libcaraway/router/daemon_tables.cpp
+++ b/src/libcaraway/router/daemon_tables.cpp
@@ -38,7 +38,7 @@
 /// and pauses after failures.
 constexpr milliseconds resting_hold{25000};
 constexpr milliseconds resting_pause{3000};
-constexpr milliseconds longest_pause = routing::follower_options{}.longest_pause;
+constexpr milliseconds longest_pause = routing::follower_options{}.max_backoff;
 /// Of what an upstream accepts, the part that all routers together keep open idle.
 constexpr double idle_share = 0.6;
 
@@ -50,9 +50,9 @@
         "configuration", core_.timers, core_.log, platform.configurations,
         routing::follower_options{},
         table_sync::events{.all = [this](const rows_answer& answer)
-                           { take_operator_rows(answer.rows, answer.revision); },
+                           { apply_operator_rows(answer.rows, answer.revision); },
                            .changed = [this](const auto& rows)
-                           { take_operator_rows(rows, std::nullopt); },
+                           { apply_operator_rows(rows, std::nullopt); },
                            .lost = [] {},
                            .back =
                                [] {
@@ -61,18 +61,18 @@
         "upstreams", core_.timers, core_.log, platform.upstreams,
         routing::follower_options{.gap = upstreams_gap},
         table_sync::events{.all = [this](const rows_answer& answer)
-                           { take_upstreams(answer.rows, answer.revision, "store"); },
+                           { apply_upstreams(answer.rows, answer.revision, "store"); },
                            .changed = [this](const auto& rows)
-                           { take_upstreams(rows, std::nullopt, "store"); },
-                           .lost = [this] { core_.directory.store_lost(core_.now()); },
+                           { apply_upstreams(rows, std::nullopt, "store"); },
+                           .lost = [this] { core_.directory.record_store_lost(core_.now()); },
                            .back =
                                [this]
                            {
-                               core_.directory.store_back(core_.now());
+                               core_.directory.record_store_recovered(core_.now());
                            }});
     if (!core_.options.seeds.empty() && !is_seed())
     {
-        relay_.rely_on_others(core_.now());
+        relay_.wait_for_peers(core_.now());
         next_own_row_ =
             core_.now() + std::chrono::duration_cast<milliseconds>(own_row_spread * core_.draw());
         configurations_->rest();
@@ -82,12 +82,12 @@
     upstreams_->start();
 }
 
-void daemon::tell_store(base::time_point now)
+void daemon::sync_routers_table(base::time_point now)
 {
     const bool reads = now >= next_routers_read_;
     if (reads && upstreams_->resting())
     {
-        ask_for_routers(now);
+        request_routers_from_peer(now);
     }
     if (store_busy_)
     {
@@ -103,7 +103,7 @@
     }
 }
 
-void daemon::ask_for_routers(base::time_point now)
+void daemon::request_routers_from_peer(base::time_point now)
 {
     const auto* source = peers_.with_store(now, core_.draw());
     if (source != nullptr && link_.ask(source->control, true))
@@ -147,7 +147,7 @@
     next_routers_read_ = now + routers_pause_;
 }
 
-void daemon::set_shares_of_limits()
+void daemon::update_limits_per_router()
 {
     const auto routers = peers_.size() + 1;
     core_.retries.set_routers(routers);
@@ -180,7 +180,8 @@
     core_.pool.set_max_idle(std::max<std::size_t>(idle, 2));
 }
 
-void daemon::take_operator_rows(const std::vector<row>& rows, std::optional<std::uint64_t> whole_at)
+void daemon::apply_operator_rows(const std::vector<row>& rows,
+                                 std::optional<std::uint64_t> whole_at)
 {
     std::set<base::zone_id> listed;
     bool changed = false;
@@ -188,7 +189,7 @@
     {
         if (each.key == platform_.configuration_key && !each.removed)
         {
-            take_configuration(each.value, "store");
+            apply_configuration(each.value, "store");
         }
         if (const auto zone = drained_zone_of(each))
         {
@@ -199,7 +200,7 @@
     }
     if (whole_at)
     {
-        for (const auto& each : core_.directory.zones().missing(listed, *whole_at))
+        for (const auto& each : core_.directory.zones().unlisted_updates(listed, *whole_at))
         {
             changed |= core_.note_zone(each, "store");
         }
@@ -232,7 +233,7 @@
     return zone->value();
 }
 
-void daemon::take_configuration(const std::string& text, std::string_view from)
+void daemon::apply_configuration(const std::string& text, std::string_view from)
 {
     auto decoded = platform_.decode_configuration(text);
     if (!decoded)
@@ -244,7 +245,7 @@
     if (core_.adopt(std::move(decoded.value()), from))
     {
         configuration_text_ = text;
-        set_shares_of_limits();
+        update_limits_per_router();
         core_.pump();
         if (!upstreams_->resting())
         {
--- a/src/libcaraway/router/daemon_upstreams.cpp
+++ b/src/libcaraway/router/daemon_upstreams.cpp
@@ -17,8 +17,8 @@
 
 }  // namespace
 
-void daemon::take_upstreams(const std::vector<row>& rows, std::optional<std::uint64_t> whole_at,
-                            std::string_view from)
+void daemon::apply_upstreams(const std::vector<row>& rows, std::optional<std::uint64_t> whole_at,
+                             std::string_view from)
 {
     const auto now = core_.now();
     std::vector<const row*> news;
@@ -32,20 +32,20 @@
             unreadable_.erase(each.key);
             log_removed(
                 id, from, each.revision,
-                name(core_.directory.remove(id, {.revision = each.revision, .heard = now})));
+                name(core_.directory.remove(id, {.revision = each.revision, .received = now})));
             continue;
         }
         listed.insert(id);
-        if (take_upstream(each))
+        if (apply_upstream(each))
         {
             news.push_back(&each);
         }
     }
-    log_news(news, from);
+    log_upstreams(news, from);
     if (whole_at)
     {
         for (const auto& id :
-             core_.directory.keep_only(listed, {.revision = *whole_at, .heard = now}))
+             core_.directory.remove_unlisted(listed, {.revision = *whole_at, .received = now}))
         {
             log_removed(id, from, *whole_at, "not_in_listing");
         }
@@ -59,7 +59,7 @@
     core_.pump();
 }
 
-void daemon::log_news(const std::vector<const row*>& news, std::string_view from)
+void daemon::log_upstreams(const std::vector<const row*>& news, std::string_view from)
 {
     if (news.size() > most_lines)
     {
@@ -97,7 +97,7 @@
         {{"upstream", id.str()}, {"from", from}, {"revision", revision}, {"outcome", outcome}});
 }
 
-void daemon::drop_missing(base::time_point now)
+void daemon::expire_deferred_removals(base::time_point now)
 {
     const auto log_dropped = [&](const auto& dropped, std::string_view outcome)
     {
@@ -106,27 +106,27 @@
             log_removed(id, "grace", upstreams_->revision(), outcome);
         }
     };
-    const auto doubts = core_.directory.doubts_since();
+    const auto doubts = core_.directory.deferring_outage_start();
     if (doubts && peers_.store_held_since(*doubts, now))
     {
-        log_dropped(core_.directory.store_was_there(now), "store_was_there");
+        log_dropped(core_.directory.cancel_grace(now), "store_was_there");
     }
     log_dropped(core_.directory.expire(now), "grace_over");
 }
 
-bool daemon::take_upstream(const row& each)
+bool daemon::apply_upstream(const row& each)
 {
     auto decoded = platform_.decode_upstream(each);
     if (!decoded)
     {
-        drop_unreadable(each, decoded.error());
+        discard_unreadable(each, decoded.error());
         return false;
     }
     const auto& entry = decoded.value();
     const auto* known = core_.directory.find(entry.id);
     const bool news = known == nullptr || known->draining != entry.draining;
     const auto change =
-        core_.directory.put(entry, {.revision = each.revision, .heard = core_.now()});
+        core_.directory.put(entry, {.revision = each.revision, .received = core_.now()});
     if (change == routing::upstream_directory::change::outdated)
     {
         return false;
@@ -136,13 +136,13 @@
     const bool restarted = change == routing::upstream_directory::change::restarted;
     if (restarted)
     {
-        core_.note_restarted(entry.id, entry.born);
+        core_.note_restarted(entry.id, entry.process_start);
     }
-    note_warmup(entry, known == nullptr || restarted);
+    record_warmup(entry, known == nullptr || restarted);
     return news;
 }
 
-void daemon::note_warmup(const routing::upstream& entry, bool appeared)
+void daemon::record_warmup(const routing::upstream& entry, bool appeared)
 {
     if (entry.warmup_left)
     {
@@ -154,7 +154,7 @@
     }
 }
 
-void daemon::follow_warmups(base::time_point now)
+void daemon::update_warmups(base::time_point now)
 {
     if (core_.cold.any() || now >= next_sweep_)
     {
@@ -166,11 +166,11 @@
     core_.note_warm();
 }
 
-void daemon::drop_unreadable(const row& from, const base::error& why)
+void daemon::discard_unreadable(const row& from, const base::error& why)
 {
     // What it said before no longer stands: whoever wrote over it, the upstream didn't say so.
-    const routing::said when{.revision = from.revision, .heard = core_.now()};
-    if (!core_.directory.forget(base::upstream_id(from.key), when))
+    const routing::update_stamp when{.revision = from.revision, .received = core_.now()};
+    if (!core_.directory.discard(base::upstream_id(from.key), when))
     {
         return;
     }
@@ -181,7 +181,7 @@
     }
 }
 
-bool daemon::knows_all() const
+bool daemon::has_tables() const
 {
     return core_.table() != nullptr && core_.directory.size() > 0;
 }
--- a/src/libcaraway/router/peer_link.cpp
+++ b/src/libcaraway/router/peer_link.cpp
@@ -175,11 +175,11 @@
     }
     if (from.zone == core_.options.zone)
     {
-        relay_.heard(from.from, from.capacity, from.tables, now);
+        relay_.record_peer(from.from, from.capacity, from.tables, now);
     }
     for (const auto& each : from.leaving)
     {
-        core_.directory.leaves(each, now);
+        core_.directory.record_leaving(each, now);
     }
     for (const auto& each : from.zones)
     {
--- a/src/libcaraway/router/request_attempts.cpp
+++ b/src/libcaraway/router/request_attempts.cpp
@@ -270,7 +270,7 @@
         give_back_share(how);
         if (how == attempt_end::other_instance)
         {
-            core_.directory.forget(id);
+            core_.directory.discard(id);
             core_.pool.close_all(id);
         }
     }
--- a/src/libcaraway/router/table_copy.cpp
+++ b/src/libcaraway/router/table_copy.cpp
@@ -35,7 +35,7 @@
                 {"partial", copy.partial},
                 {"upstreams", upstreams},
                 {"revision", copy.state.revision},
-                {"mark", copy.state.mark},
+                {"mark", copy.state.content_hash},
                 {"zones", routing::zones_json(copy.zones)},
                 {"routers", routers}}
         .dump(-1, ' ', false, json::error_handler_t::replace);
@@ -54,7 +54,7 @@
             .version = base::config_version{from.at("configuration_version").get<std::uint64_t>()},
             .partial = from.at("partial").get<bool>(),
             .state = {.revision = from.at("revision").get<std::uint64_t>(),
-                      .mark = from.at("mark").get<std::uint64_t>()},
+                      .content_hash = from.at("mark").get<std::uint64_t>()},
             .zones = routing::zones_of(from.at("zones"))};
         for (const auto& each : from.at("upstreams"))
         {
--- a/src/libcaraway/router/table_copy.hpp
+++ b/src/libcaraway/router/table_copy.hpp
@@ -33,7 +33,7 @@
     /// What `upstreams` is a copy of.
     routing::table_state state;
     /// What was said last of availability zones.
-    std::vector<routing::zone_statement> zones;
+    std::vector<routing::zone_update> zones;
     /// The sender and the routers that it knows, names and addresses only; a partial copy has them
     /// if asked.
     std::vector<routing::peer> routers;
--- a/src/libcaraway/router/table_sync.cpp
+++ b/src/libcaraway/router/table_sync.cpp
@@ -24,7 +24,7 @@
     resting_ = true;
     if (follower_.lost())
     {
-        follower_.answered(follower_.revision(), timers_.now());
+        follower_.record_answer(follower_.revision(), timers_.now());
         on_.back();
     }
 }
@@ -45,7 +45,7 @@
 
 void table_sync::adopt(std::uint64_t revision)
 {
-    follower_.answered(revision, timers_.now());
+    follower_.record_answer(revision, timers_.now());
 }
 
 void table_sync::schedule()
@@ -55,7 +55,7 @@
     {
         return;
     }
-    timers_.at(follower_.next(timers_.now()).at, [this] { call(); });
+    timers_.at(follower_.next(timers_.now()).not_before, [this] { call(); });
 }
 
 void table_sync::call()
@@ -66,7 +66,7 @@
         return;
     }
     const auto next = follower_.next(timers_.now());
-    if (next.what == routing::row_follower::step::read_all)
+    if (next.kind == routing::row_follower::call_kind::read_all)
     {
         port_.read_all([this](auto result) { on_answer(true, std::move(result)); });
         return;
@@ -94,7 +94,7 @@
     if (result.value().history_gone)
     {
         log_.line("store_history_gone", {{"table", name_}, {"after", follower_.revision()}});
-        follower_.history_gone(now);
+        follower_.record_history_gone(now);
         schedule();
         return;
     }
@@ -104,7 +104,7 @@
     {
         fresh_since_ = now;
     }
-    follower_.answered(result.value().revision, now);
+    follower_.record_answer(result.value().revision, now);
     if (was_lost)
     {
         log_.line("store_back", {{"table", name_}, {"revision", follower_.revision()}});
@@ -124,7 +124,7 @@
 void table_sync::note_failure(const base::error& why)
 {
     const bool was_lost = follower_.lost();
-    follower_.failed(timers_.now());
+    follower_.record_failure(timers_.now());
     if (was_lost)
     {
         return;
--- a/src/libcaraway/router/table_sync.hpp
+++ b/src/libcaraway/router/table_sync.hpp
@@ -34,7 +34,7 @@
     }
     void set_longest_pause(std::chrono::milliseconds pause)
     {
-        follower_.set_longest_pause(pause);
+        follower_.set_max_backoff(pause);
     }
     /// Makes no more calls: peers tell what changes. What was lost counts as back.
     void rest();
--- a/src/libcaraway/routing/change_log.cpp
+++ b/src/libcaraway/routing/change_log.cpp
@@ -7,7 +7,7 @@
 
 change_log::change_log(std::size_t most) : most_(most) {}
 
-void change_log::note(const base::upstream_id& id)
+void change_log::record(const base::upstream_id& id)
 {
     ++position_;
     last_.push_back(id);
--- a/src/libcaraway/routing/change_log.hpp
+++ b/src/libcaraway/routing/change_log.hpp
@@ -17,7 +17,7 @@
 public:
     explicit change_log(std::size_t most = 4096);
 
-    void note(const base::upstream_id& id);
+    void record(const base::upstream_id& id);
     /// Counts all changes so far.
     std::uint64_t position() const
     {
--- a/src/libcaraway/routing/digest.cpp
+++ b/src/libcaraway/routing/digest.cpp
@@ -139,16 +139,17 @@
 
 json tables_json(const table_state& of)
 {
-    return json::array({of.follows, of.lost, of.answers, of.revision, of.mark});
+    return json::array(
+        {of.polls_store, of.store_unreachable, of.answer_count, of.revision, of.content_hash});
 }
 
 table_state tables_of(const json& from)
 {
-    return {.follows = from.at(0).get<bool>(),
-            .lost = from.at(1).get<bool>(),
-            .answers = from.at(2).get<std::uint64_t>(),
+    return {.polls_store = from.at(0).get<bool>(),
+            .store_unreachable = from.at(1).get<bool>(),
+            .answer_count = from.at(2).get<std::uint64_t>(),
             .revision = from.at(3).get<std::uint64_t>(),
-            .mark = from.at(4).get<std::uint64_t>()};
+            .content_hash = from.at(4).get<std::uint64_t>()};
 }
 
 json leaving_json(const std::vector<leaving_upstream>& leaving)
@@ -156,7 +157,7 @@
     auto out = json::array();
     for (const auto& each : leaving)
     {
-        out.push_back({each.id.str(), each.born.count()});
+        out.push_back({each.id.str(), each.process_start.count()});
     }
     return out;
 }
@@ -166,8 +167,9 @@
     std::vector<leaving_upstream> leaving;
     for (const auto& each : from)
     {
-        leaving.push_back({.id = base::upstream_id(each.at(0).get<std::string>()),
-                           .born = std::chrono::milliseconds(each.at(1).get<std::int64_t>())});
+        leaving.push_back(
+            {.id = base::upstream_id(each.at(0).get<std::string>()),
+             .process_start = std::chrono::milliseconds(each.at(1).get<std::int64_t>())});
     }
     return leaving;
 }
--- a/src/libcaraway/routing/digest.hpp
+++ b/src/libcaraway/routing/digest.hpp
@@ -51,7 +51,7 @@
     /// router takes a second longer to ask for a whole copy.
     std::vector<leaving_upstream> leaving;
     /// What was said last of availability zones.
-    std::vector<zone_statement> zones;
+    std::vector<zone_update> zones;
     /// The sender's copy of the platform's tables.
     table_state tables;
 };
--- a/src/libcaraway/routing/drained_zones.cpp
+++ b/src/libcaraway/routing/drained_zones.cpp
@@ -5,7 +5,7 @@
 namespace caraway::routing
 {
 
-bool drained_zones::note(const zone_statement& what)
+bool drained_zones::record(const zone_update& what)
 {
     const auto [place, added] = last_.try_emplace(what.zone, what);
     auto& known = place->second;
@@ -20,10 +20,10 @@
     return what.drained != was_drained;
 }
 
-std::vector<zone_statement> drained_zones::missing(const std::set<base::zone_id>& listed,
-                                                   std::uint64_t revision) const
+std::vector<zone_update> drained_zones::unlisted_updates(const std::set<base::zone_id>& listed,
+                                                         std::uint64_t revision) const
 {
-    std::vector<zone_statement> out;
+    std::vector<zone_update> out;
     for (const auto& [zone, known] : last_)
     {
         if (known.drained && !listed.contains(zone))
@@ -40,9 +40,9 @@
     return known != last_.end() && known->second.drained;
 }
 
-std::vector<zone_statement> drained_zones::statements() const
+std::vector<zone_update> drained_zones::updates() const
 {
-    std::vector<zone_statement> out;
+    std::vector<zone_update> out;
     out.reserve(last_.size());
     for (const auto& [zone, known] : last_)
     {
--- a/src/libcaraway/routing/json_parts.cpp
+++ b/src/libcaraway/routing/json_parts.cpp
@@ -15,7 +15,7 @@
     return {.ip = from.at(0).get<std::string>(), .port = from.at(1).get<std::uint16_t>()};
 }
 
-json zones_json(const std::vector<zone_statement>& zones)
+json zones_json(const std::vector<zone_update>& zones)
 {
     auto out = json::array();
     for (const auto& each : zones)
@@ -25,9 +25,9 @@
     return out;
 }
 
-std::vector<zone_statement> zones_of(const json& from)
+std::vector<zone_update> zones_of(const json& from)
 {
-    std::vector<zone_statement> zones;
+    std::vector<zone_update> zones;
     for (const auto& each : from)
     {
         zones.push_back({.zone = base::zone_id(each.at(0).get<std::string>()),
--- a/src/libcaraway/routing/json_parts.hpp
+++ b/src/libcaraway/routing/json_parts.hpp
@@ -13,7 +13,7 @@
 nlohmann::json endpoint_json(const endpoint& of);
 endpoint endpoint_of(const nlohmann::json& from);
 
-nlohmann::json zones_json(const std::vector<zone_statement>& zones);
-std::vector<zone_statement> zones_of(const nlohmann::json& from);
+nlohmann::json zones_json(const std::vector<zone_update>& zones);
+std::vector<zone_update> zones_of(const nlohmann::json& from);
 
 }  // namespace caraway::routing
--- a/src/libcaraway/routing/row_follower.cpp
+++ b/src/libcaraway/routing/row_follower.cpp
@@ -9,13 +9,13 @@
 
 row_follower::call row_follower::next(base::time_point now) const
 {
-    return {.what = read_needed_ ? step::read_all : step::follow,
+    return {.kind = read_needed_ ? call_kind::read_all : call_kind::follow,
             .after = revision_,
             .hold = lost() ? std::chrono::milliseconds(0) : options_.hold,
-            .at = std::max(now, earliest_)};
+            .not_before = std::max(now, earliest_)};
 }
 
-void row_follower::answered(std::uint64_t revision, base::time_point now)
+void row_follower::record_answer(std::uint64_t revision, base::time_point now)
 {
     revision_ = std::max(revision_, revision);
     has_read_ = true;
@@ -24,18 +24,18 @@
     earliest_ = now + options_.gap;
 }
 
-void row_follower::history_gone(base::time_point now)
+void row_follower::record_history_gone(base::time_point now)
 {
     read_needed_ = true;
     earliest_ = now;
 }
 
-void row_follower::failed(base::time_point now)
+void row_follower::record_failure(base::time_point now)
 {
     constexpr std::uint32_t largest_exponent = 6;
-    const auto pause = options_.first_pause * (1U << std::min(failures_, largest_exponent));
+    const auto pause = options_.initial_backoff * (1U << std::min(failures_, largest_exponent));
     ++failures_;
-    earliest_ = now + std::min(pause, options_.longest_pause);
+    earliest_ = now + std::min(pause, options_.max_backoff);
 }
 
 }  // namespace caraway::routing
--- a/src/libcaraway/routing/row_follower.hpp
+++ b/src/libcaraway/routing/row_follower.hpp
@@ -14,8 +14,8 @@
     std::chrono::milliseconds hold{1500};
     /// Time between two calls, so that a table that changes all the time costs a bounded number.
     std::chrono::milliseconds gap{0};
-    std::chrono::milliseconds first_pause{100};
-    std::chrono::milliseconds longest_pause{400};
+    std::chrono::milliseconds initial_backoff{100};
+    std::chrono::milliseconds max_backoff{400};
 };
 
 /// Keeps a copy of a table of the platform's store up to date: reads it whole, then asks for what
@@ -23,7 +23,7 @@
 class row_follower
 {
 public:
-    enum class step
+    enum class call_kind
     {
         read_all,
         follow,
@@ -31,12 +31,12 @@
 
     struct call
     {
-        step what = step::read_all;
+        call_kind kind = call_kind::read_all;
         /// Revision from which changes are wanted.
         std::uint64_t after = 0;
         std::chrono::milliseconds hold{};
         /// Not before then.
-        base::time_point at{};
+        base::time_point not_before{};
     };
 
     explicit row_follower(follower_options options = {});
@@ -49,9 +49,9 @@
         options_.hold = hold;
     }
     /// How long it waits at most after calls that failed.
-    void set_longest_pause(std::chrono::milliseconds pause)
+    void set_max_backoff(std::chrono::milliseconds pause)
     {
-        options_.longest_pause = pause;
+        options_.max_backoff = pause;
     }
 
     /// What to ask next. While the store is lost, calls aren't held there: one that got lost itself
@@ -59,11 +59,11 @@
     call next(base::time_point now) const;
 
     /// Answered, up to that revision.
-    void answered(std::uint64_t revision, base::time_point now);
+    void record_answer(std::uint64_t revision, base::time_point now);
     /// The store no longer has the changes asked for; those in between are lost, so all is read.
-    void history_gone(base::time_point now);
+    void record_history_gone(base::time_point now);
     /// Refused, or no answer in time.
-    void failed(base::time_point now);
+    void record_failure(base::time_point now);
 
     /// Whether the last call failed.
     bool lost() const
--- a/src/libcaraway/routing/table_relay.hpp
+++ b/src/libcaraway/routing/table_relay.hpp
@@ -15,41 +15,41 @@
 {
     /// Routers of a zone that ask the store; the rest hear from them. Two, so that one may die or
     /// be cut off without a pause.
-    std::size_t followers = 2;
+    std::size_t pollers = 2;
     /// In a smaller zone each asks by itself: there is little to save.
-    std::size_t least_routers = 5;
+    std::size_t min_shared_routers = 5;
     /// How long an upstream that leaves goes on serving: within it each router has to know.
     std::chrono::milliseconds leaving_notice{2000};
     /// A follower that has told of no new answer for this part of the notice is taken for cut off,
     /// frozen or dead, and the next in line asks. The store holds a call that waits for changes for
     /// half of that time.
-    double stale = 0.6;
+    double stale_fraction = 0.6;
     /// A router whose own copy nobody has confirmed for this part asks the store itself, whatever
     /// others do: the rest of the notice is for the call.
-    double alone = 0.8;
+    double unconfirmed_fraction = 0.8;
     /// One that couldn't reach the store is the last to be asked again for so long.
-    std::chrono::milliseconds avoid{5000};
+    std::chrono::milliseconds avoid_period{5000};
     /// How long a router that starts waits for a copy of those that its settings name before it
     /// asks the store.
-    std::chrono::milliseconds first_patience{1000};
+    std::chrono::milliseconds initial_copy_timeout{1000};
     /// How long it goes by such a copy, as long as that is confirmed, before it hears enough of its
     /// zone to know who asks: routers that start find each other within some pulls of a copy.
-    std::chrono::milliseconds settling{4000};
+    std::chrono::milliseconds settling_period{4000};
 };
 
 /// What a router says of its copy of the platform's tables, in its digests.
 struct table_state
 {
     /// It asks the store itself.
-    bool follows = false;
+    bool polls_store = false;
     /// It tried and couldn't reach it.
-    bool lost = false;
+    bool store_unreachable = false;
     /// Answers of the store so far: while they are counted on, the copy is current.
-    std::uint64_t answers = 0;
+    std::uint64_t answer_count = 0;
     /// The store's revision up to which the copy is current.
     std::uint64_t revision = 0;
     /// A hash of what the copy says of upstreams: equal copies have equal marks.
-    std::uint64_t mark = 0;
+    std::uint64_t content_hash = 0;
 
     friend bool operator==(const table_state&, const table_state&) = default;
 };
@@ -66,34 +66,34 @@
     void set_leaving_notice(std::chrono::milliseconds notice);
     /// It starts, and others may have the tables already. All routers of a fleet start at one
     /// moment, know nobody, and each would read all tables from the store.
-    void rely_on_others(base::time_point now);
+    void wait_for_peers(base::time_point now);
     /// None of those others answers.
-    void stop_relying();
+    void stop_waiting_for_peers();
     /// A router of the same zone told of its copy.
-    void heard(const base::node_id& peer, double capacity, const table_state& of,
-               base::time_point now);
+    void record_peer(const base::node_id& peer, double capacity, const table_state& of,
+                     base::time_point now);
     /// This router's copy, and that it has read one at all.
-    void set_own(double capacity, const table_state& of, bool has_read, base::time_point now);
+    void set_own_state(double capacity, const table_state& of, bool has_read, base::time_point now);
     /// It couldn't reach the store.
-    void note_lost(base::time_point now);
+    void record_store_unreachable(base::time_point now);
     /// It has taken over a peer's copy.
-    void note_copied(const base::node_id& from, const table_state& of, base::time_point now);
+    void record_copy(const base::node_id& from, const table_state& of, base::time_point now);
 
     /// Whether it asks the store itself now.
-    bool follows(base::time_point now) const;
+    bool should_poll_store(base::time_point now) const;
     /// Whether few routers of the zone ask for all.
     bool is_shared(base::time_point now) const;
     /// A peer whose copy is newer and says something else.
     std::optional<base::node_id> source(base::time_point now) const;
     /// Whether it tried and couldn't reach the store lately.
-    bool lost(base::time_point now) const;
+    bool is_store_unreachable(base::time_point now) const;
 
 private:
     struct mate
     {
         double capacity = 1;
         table_state state;
-        base::time_point heard{};
+        base::time_point last_digest{};
         /// When it told of a new answer last.
         base::time_point answered{};
     };
--- a/src/libcaraway/routing/upstream_directory.cpp
+++ b/src/libcaraway/routing/upstream_directory.cpp
@@ -10,35 +10,37 @@
 
 upstream_directory::upstream_directory(directory_options options) : options_(options) {}
 
-upstream_directory::change upstream_directory::put(const upstream& entry, const said& when)
+upstream_directory::change upstream_directory::put(const upstream& entry, const update_stamp& when)
 {
     const auto known = last_.find(entry.id);
-    const bool restarted = known != last_.end() && entry.born > known->second.born;
-    const bool of_ended_life = known != last_.end() && entry.born < known->second.born;
+    const bool restarted =
+        known != last_.end() && entry.process_start > known->second.process_start;
+    const bool of_ended_life =
+        known != last_.end() && entry.process_start < known->second.process_start;
     if (of_ended_life || !is_news(entry.id, when))
     {
         return change::outdated;
     }
-    last_[entry.id].born = entry.born;
+    last_[entry.id].process_start = entry.process_start;
     missing_.erase(entry.id);
     auto& kept = entries_[entry.id];
     kept = entry;
     kept.hash = scheduling::stable_hash(entry.id.str());
-    changes_.note(entry.id);
+    changes_.record(entry.id);
     usable_.clear();
     if (entry.draining)
     {
-        leaving_.try_emplace(entry.id, entry.born, when.heard);
+        leaving_.try_emplace(entry.id, entry.process_start, when.received);
     }
     else
     {
         leaving_.erase(entry.id);
     }
-    return restarted ? change::restarted : change::same_life;
+    return restarted ? change::restarted : change::same_incarnation;
 }
 
 upstream_directory::removal upstream_directory::remove(const base::upstream_id& id,
-                                                       const said& when)
+                                                       const update_stamp& when)
 {
     if (!is_news(id, when))
     {
@@ -48,17 +50,18 @@
     {
         return removal::not_listed;
     }
-    if (in_grace(when.heard) && !entries_.at(id).draining)
+    if (in_grace(when.received) && !entries_.at(id).draining)
     {
         missing_[id] = true;
-        return removal::waits;
+        return removal::deferred;
     }
-    drop(id, when.heard);
-    return removal::believed;
+    drop(id, when.received);
+    return removal::applied;
 }
 
 std::vector<base::upstream_id>
-upstream_directory::keep_only(const std::set<base::upstream_id>& listed, const said& when)
+upstream_directory::remove_unlisted(const std::set<base::upstream_id>& listed,
+                                    const update_stamp& when)
 {
     std::vector<base::upstream_id> absent;
     for (const auto& [id, entry] : entries_)
@@ -71,7 +74,7 @@
     std::vector<base::upstream_id> removed;
     for (const auto& id : absent)
     {
-        if (remove(id, when) == removal::believed)
+        if (remove(id, when) == removal::applied)
         {
             removed.push_back(id);
         }
@@ -79,7 +82,7 @@
     return removed;
 }
 
-void upstream_directory::store_lost(base::time_point now)
+void upstream_directory::record_store_lost(base::time_point now)
 {
     if (!lost_)
     {
@@ -88,23 +91,23 @@
     lost_ = true;
 }
 
-void upstream_directory::store_back(base::time_point now)
+void upstream_directory::record_store_recovered(base::time_point now)
 {
     if (!lost_)
     {
         return;
     }
     lost_ = false;
-    grace_until_ = now + options_.return_grace;
+    grace_until_ = now + options_.recovery_grace;
 }
 
-std::vector<base::upstream_id> upstream_directory::store_was_there(base::time_point now)
+std::vector<base::upstream_id> upstream_directory::cancel_grace(base::time_point now)
 {
     grace_until_ = {};
     return drop_missing(now);
 }
 
-std::optional<base::time_point> upstream_directory::doubts_since() const
+std::optional<base::time_point> upstream_directory::deferring_outage_start() const
 {
     return missing_.empty() || lost_ ? std::nullopt : std::optional(lost_since_);
 }
@@ -114,17 +117,19 @@
     auto dropped = in_grace(now) ? std::vector<base::upstream_id>{} : drop_missing(now);
     for (auto* times : {&leaving_, &told_})
     {
-        const auto ended = std::erase_if(*times, [&](const auto& each)
-                                         { return each.second.second + options_.told_for <= now; });
+        const auto ended =
+            std::erase_if(*times, [&](const auto& each)
+                          { return each.second.second + options_.leaving_retention <= now; });
         if (ended > 0)
         {
             usable_.clear();
         }
     }
     std::erase_if(last_,
-                  [&](const auto& each) {
+                  [&](const auto& each)
+                  {
                       return !entries_.contains(each.first) &&
-                             each.second.heard + options_.remembered <= now;
+                             each.second.received + options_.tombstone_retention <= now;
                   });
     return dropped;
 }
@@ -144,19 +149,19 @@
 {
     if (const auto* known = find(id))
     {
-        leaving_.try_emplace(id, known->born, now);
+        leaving_.try_emplace(id, known->process_start, now);
     }
-    forget(id);
+    discard(id);
 }
 
-void upstream_directory::leaves(const leaving_upstream& what, base::time_point now)
+void upstream_directory::record_leaving(const leaving_upstream& what, base::time_point now)
 {
     auto& told = told_[what.id];
-    if (told.first != what.born || told.second == base::time_point{})
+    if (told.first != what.process_start || told.second == base::time_point{})
     {
         usable_.clear();
     }
-    told = {what.born, now};
+    told = {what.process_start, now};
 }
 
 std::vector<leaving_upstream> upstream_directory::leaving(base::time_point now) const
@@ -164,35 +169,35 @@
     std::vector<leaving_upstream> out;
     for (const auto& [id, each] : leaving_)
     {
-        if (each.second + options_.told_for > now)
+        if (each.second + options_.leaving_retention > now)
         {
-            out.push_back({.id = id, .born = each.first});
+            out.push_back({.id = id, .process_start = each.first});
         }
     }
     return out;
 }
 
-void upstream_directory::forget(const base::upstream_id& id)
+void upstream_directory::discard(const base::upstream_id& id)
 {
     if (entries_.erase(id) > 0)
     {
-        changes_.note(id);
+        changes_.record(id);
     }
     missing_.erase(id);
     usable_.clear();
 }
 
-bool upstream_directory::forget(const base::upstream_id& id, const said& when)
+bool upstream_directory::discard(const base::upstream_id& id, const update_stamp& when)
 {
     if (!is_news(id, when))
     {
         return false;
     }
-    forget(id);
+    discard(id);
     return true;
 }
 
-bool upstream_directory::is_news(const base::upstream_id& id, const said& when)
+bool upstream_directory::is_news(const base::upstream_id& id, const update_stamp& when)
 {
     const auto [known, first] = last_.try_emplace(id);
     if (!first && when.revision <= known->second.revision)
@@ -200,13 +205,13 @@
         return false;
     }
     known->second.revision = when.revision;
-    known->second.heard = when.heard;
+    known->second.received = when.received;
     return true;
 }
 
-bool upstream_directory::note_zone(const zone_statement& what)
+bool upstream_directory::record_zone(const zone_update& what)
 {
-    const bool changed = zones_.note(what);
+    const bool changed = zones_.record(what);
     if (changed)
     {
         usable_.clear();
@@ -216,7 +221,7 @@
 
 bool upstream_directory::all_drained(const base::service_id& service) const
 {
-    if (zones_.drained() == 0 || !usable(service).empty())
+    if (zones_.drained_count() == 0 || !usable(service).empty())
     {
         return false;
     }
@@ -227,7 +232,7 @@
                        });
 }
 
-double upstream_directory::part_in_use() const
+double upstream_directory::undrained_fraction() const
 {
     std::size_t all = 0;
     std::size_t used = 0;
@@ -261,7 +266,7 @@
 bool upstream_directory::is_usable(const upstream& of) const
 {
     const auto told = told_.find(of.id);
-    const bool leaves = told != told_.end() && told->second.first == of.born;
+    const bool leaves = told != told_.end() && told->second.first == of.process_start;
     return !of.draining && !leaves && !zones_.contains(of.zone);
 }
 
@@ -271,7 +276,7 @@
     return found == entries_.end() ? nullptr : &found->second;
 }
 
-std::uint64_t upstream_directory::mark() const
+std::uint64_t upstream_directory::content_hash() const
 {
     using scheduling::combine;
     using scheduling::stable_hash;
@@ -289,7 +294,7 @@
         all = combine(all, entry.slots * 2U + (entry.draining ? 1U : 0U));
         // Not how long: it counts down, and each router does that by itself.
         all = combine(all, entry.warmup_left.value_or(std::chrono::milliseconds(0)).count() > 0);
-        all = combine(all, static_cast<std::uint64_t>(entry.born.count()));
+        all = combine(all, static_cast<std::uint64_t>(entry.process_start.count()));
     }
     mark_ = {changes_.position(), all};
     return all;
@@ -314,9 +319,9 @@
         return "not_listed";
     case upstream_directory::removal::outdated:
         return "outdated";
-    case upstream_directory::removal::believed:
+    case upstream_directory::removal::applied:
         return "believed";
-    case upstream_directory::removal::waits:
+    case upstream_directory::removal::deferred:
         return "waits";
     }
     return "unknown";
--- a/src/libcaraway/routing/upstream_directory.hpp
+++ b/src/libcaraway/routing/upstream_directory.hpp
@@ -36,7 +36,7 @@
     bool draining = false;
     /// The start of its process, by its own clock, since the epoch; 0: not told. A later one under
     /// the same id is another process, which holds and knows nothing of the one before.
-    std::chrono::milliseconds born{};
+    std::chrono::milliseconds process_start{};
     /// How long it stays cold after its start, by its own word when it was written; nothing: it
     /// didn't say.
     std::optional<std::chrono::milliseconds> warmup_left;
@@ -48,30 +48,30 @@
 struct leaving_upstream
 {
     base::upstream_id id;
-    std::chrono::milliseconds born{};
+    std::chrono::milliseconds process_start{};
 };
 
 /// When something was said of entries.
-struct said
+struct update_stamp
 {
     /// The store's revision in which it was written, or up to which a listing is current. It rises
     /// with each change of any row, whoever tells of it.
     std::uint64_t revision = 0;
     /// When this router heard of it.
-    base::time_point heard{};
+    base::time_point received{};
 };
 
 struct directory_options
 {
     /// Entries that lapsed while the platform's store was away are back within two seconds of its
     /// return if the upstream lives (the platform's contract); a little more for the way.
-    std::chrono::milliseconds return_grace{2300};
+    std::chrono::milliseconds recovery_grace{2300};
     /// How long peers are told of one that leaves: several digests of the largest fleets.
-    std::chrono::milliseconds told_for{4000};
+    std::chrono::milliseconds leaving_retention{4000};
     /// How long it is remembered what was said last of an entry that is gone. What comes late is
     /// seconds late: calls to the store end after 3.3 s, a suspended VM wakes within tens of
     /// seconds.
-    std::chrono::hours remembered{1};
+    std::chrono::hours tombstone_retention{1};
 };
 
 /// The upstreams that may get requests. An entry that disappears normally means that its upstream
@@ -93,13 +93,13 @@
     /// How an entry relates to what is known of the same id.
     enum class change
     {
-        same_life,
+        same_incarnation,
         /// Another process than before: what was believed of its life before ends.
         restarted,
         /// Of a life that has ended, or older than what is known; ignored.
         outdated,
     };
-    change put(const upstream& entry, const said& when);
+    change put(const upstream& entry, const update_stamp& when);
     /// What came of a removal.
     enum class removal
     {
@@ -107,38 +107,38 @@
         /// Older than what is known; ignored.
         outdated,
         /// It gets nothing more.
-        believed,
+        applied,
         /// It may be back: it is kept until the grace is over.
-        waits,
+        deferred,
     };
-    removal remove(const base::upstream_id& id, const said& when);
+    removal remove(const base::upstream_id& id, const update_stamp& when);
     /// The whole listing: removes what it lacks. Returns what it removed.
-    std::vector<base::upstream_id> keep_only(const std::set<base::upstream_id>& listed,
-                                             const said& when);
+    std::vector<base::upstream_id> remove_unlisted(const std::set<base::upstream_id>& listed,
+                                                   const update_stamp& when);
 
-    void store_lost(base::time_point now);
-    void store_back(base::time_point now);
+    void record_store_lost(base::time_point now);
+    void record_store_recovered(base::time_point now);
     /// Another router has had the store all the while since this one lost it: it was this router
     /// that was cut off, upstreams could refresh their entries, and what is missing is gone.
     /// Returns what it dropped.
-    std::vector<base::upstream_id> store_was_there(base::time_point now);
+    std::vector<base::upstream_id> cancel_grace(base::time_point now);
     /// When the store was lost last; nothing while no removal waits to be believed.
-    std::optional<base::time_point> doubts_since() const;
+    std::optional<base::time_point> deferring_outage_start() const;
     /// Drops what is still missing when the grace is over, and returns it.
     std::vector<base::upstream_id> expire(base::time_point now);
     /// A peer knows that it leaves: no new requests for a while, in which the own listing says so
     /// too. Not for longer, as a peer may be wrong, or late.
-    void leaves(const leaving_upstream& what, base::time_point now);
+    void record_leaving(const leaving_upstream& what, base::time_point now);
     /// Lives that left, or said that they do, in the last seconds; for peers.
     std::vector<leaving_upstream> leaving(base::time_point now) const;
     /// It refused as another instance: whatever has been said of it so far, it is gone.
-    void forget(const base::upstream_id& id);
+    void discard(const base::upstream_id& id);
     /// Its entry was written over by something that names no upstream. Whether that is the newest
     /// statement.
-    bool forget(const base::upstream_id& id, const said& when);
+    bool discard(const base::upstream_id& id, const update_stamp& when);
 
     /// Something was said of an availability zone; whether it changes what holds.
-    bool note_zone(const zone_statement& what);
+    bool record_zone(const zone_update& what);
     const drained_zones& zones() const
     {
         return zones_;
@@ -146,7 +146,7 @@
     /// The service has upstreams, and all of them are in drained zones.
     bool all_drained(const base::service_id& service) const;
     /// Which part of the upstreams that don't leave is outside of drained zones.
-    double part_in_use() const;
+    double undrained_fraction() const;
 
     /// Upstreams of the service that take new requests, until the next change.
     const std::vector<const upstream*>& usable(const base::service_id& service) const;
@@ -156,7 +156,7 @@
         return entries_.size();
     }
     /// A hash of all entries, the same at each router that holds the same.
-    std::uint64_t mark() const;
+    std::uint64_t content_hash() const;
     /// Entries that came, changed or went.
     const change_log& changes() const
     {
@@ -181,12 +181,12 @@
     {
         std::uint64_t revision = 0;
         /// The latest start that was told.
-        std::chrono::milliseconds born{};
-        base::time_point heard{};
+        std::chrono::milliseconds process_start{};
+        base::time_point received{};
     };
 
     /// Takes note of a statement; whether it is the newest.
-    bool is_news(const base::upstream_id& id, const said& when);
+    bool is_news(const base::upstream_id& id, const update_stamp& when);
 
     directory_options options_;
     std::map<base::upstream_id, upstream> entries_;
--- a/tests/routing/test_change_log.cpp
+++ b/tests/routing/test_change_log.cpp
@@ -28,11 +28,11 @@
 BOOST_AUTO_TEST_CASE(each_entry_that_changed_since_is_told_once)
 {
     change_log log;
-    log.note(base::upstream_id("a"));
+    log.record(base::upstream_id("a"));
     const auto position = log.position();
-    log.note(base::upstream_id("b"));
-    log.note(base::upstream_id("c"));
-    log.note(base::upstream_id("b"));
+    log.record(base::upstream_id("b"));
+    log.record(base::upstream_id("c"));
+    log.record(base::upstream_id("b"));
 
     BOOST_TEST(text(log.since(position)) == "b c ");
     BOOST_TEST(text(log.since(log.position())) == "");
@@ -43,7 +43,7 @@
     change_log log(2);
     for (const auto* each : {"a", "b", "c"})
     {
-        log.note(base::upstream_id(each));
+        log.record(base::upstream_id(each));
     }
     BOOST_TEST(text(log.since(0)) == "unknown");
     BOOST_TEST(text(log.since(1)) == "b c ");
@@ -57,19 +57,19 @@
     const auto put = [&](std::uint64_t revision, bool draining)
     {
         directory.put({.id = id, .draining = draining},
-                      {.revision = revision, .heard = base::time_point(1h)});
+                      {.revision = revision, .received = base::time_point(1h)});
         return directory.changes().position();
     };
     const auto came = put(5, false);
-    const auto mark = directory.mark();
+    const auto mark = directory.content_hash();
     const auto outdated = put(4, true);
     BOOST_TEST(came == outdated);
-    BOOST_TEST(directory.mark() == mark);
+    BOOST_TEST(directory.content_hash() == mark);
 
     const auto changed = put(6, true);
     BOOST_TEST(changed > came);
-    BOOST_TEST(directory.mark() != mark);
-    directory.remove(id, {.revision = 7, .heard = base::time_point(1h)});
+    BOOST_TEST(directory.content_hash() != mark);
+    directory.remove(id, {.revision = 7, .received = base::time_point(1h)});
     BOOST_TEST(directory.changes().position() > changed);
     BOOST_TEST(directory.revision_of(id) == 7U);
 }
--- a/tests/routing/test_drained_zones.cpp
+++ b/tests/routing/test_drained_zones.cpp
@@ -6,7 +6,7 @@
 using namespace std::chrono_literals;
 using routing::drained_zones;
 using routing::upstream_directory;
-using routing::zone_statement;
+using routing::zone_update;
 
 namespace
 {
@@ -15,12 +15,12 @@
 const base::zone_id east("east");
 const base::zone_id west("west");
 
-zone_statement drained(const base::zone_id& zone, std::uint64_t revision)
+zone_update drained(const base::zone_id& zone, std::uint64_t revision)
 {
     return {.zone = zone, .drained = true, .revision = revision};
 }
 
-zone_statement taken_back(const base::zone_id& zone, std::uint64_t revision)
+zone_update taken_back(const base::zone_id& zone, std::uint64_t revision)
 {
     return {.zone = zone, .drained = false, .revision = revision};
 }
@@ -39,7 +39,7 @@
     void add(const std::string& id, const base::zone_id& zone)
     {
         directory.put({.id = base::upstream_id(id), .service = engines, .zone = zone},
-                      {.revision = 1, .heard = base::time_point(1h)});
+                      {.revision = 1, .received = base::time_point(1h)});
     }
 
     std::string usable() const
@@ -59,25 +59,25 @@
 
 BOOST_AUTO_TEST_CASE(upstreams_of_a_drained_zone_get_nothing_new)
 {
-    BOOST_TEST(directory.note_zone(drained(east, 10)));
+    BOOST_TEST(directory.record_zone(drained(east, 10)));
     BOOST_TEST(usable() == "w1 ");
     BOOST_TEST(!directory.all_drained(engines));
 
-    BOOST_TEST(directory.note_zone(taken_back(east, 11)));
+    BOOST_TEST(directory.record_zone(taken_back(east, 11)));
     BOOST_TEST(usable() == "e1 e2 w1 ");
 }
 
 BOOST_AUTO_TEST_CASE(an_upstream_that_appears_in_a_drained_zone_gets_nothing)
 {
-    directory.note_zone(drained(east, 10));
+    directory.record_zone(drained(east, 10));
     add("e3", east);
     BOOST_TEST(usable() == "w1 ");
 }
 
 BOOST_AUTO_TEST_CASE(all_zones_can_be_drained_at_once)
 {
-    directory.note_zone(drained(east, 10));
-    directory.note_zone(drained(west, 11));
+    directory.record_zone(drained(east, 10));
+    directory.record_zone(drained(west, 11));
     BOOST_TEST(usable() == "");
     BOOST_TEST(directory.all_drained(engines));
     BOOST_TEST(!directory.all_drained(base::service_id("none")));
@@ -86,21 +86,21 @@
 // Guards against a peer's older word that takes a zone back.
 BOOST_AUTO_TEST_CASE(the_statement_of_the_latest_revision_counts)
 {
-    directory.note_zone(drained(east, 10));
-    BOOST_TEST(!directory.note_zone(taken_back(east, 9)));
-    BOOST_TEST(!directory.note_zone(taken_back(east, 10)));
+    directory.record_zone(drained(east, 10));
+    BOOST_TEST(!directory.record_zone(taken_back(east, 9)));
+    BOOST_TEST(!directory.record_zone(taken_back(east, 10)));
     BOOST_TEST(usable() == "w1 ");
 
-    directory.note_zone(taken_back(east, 12));
-    BOOST_TEST(!directory.note_zone(drained(east, 11)));
+    directory.record_zone(taken_back(east, 12));
+    BOOST_TEST(!directory.record_zone(drained(east, 11)));
     BOOST_TEST(usable() == "e1 e2 w1 ");
 }
 
 BOOST_AUTO_TEST_CASE(a_word_that_changes_nothing_is_no_news_but_counts)
 {
-    directory.note_zone(drained(east, 10));
-    BOOST_TEST(!directory.note_zone(drained(east, 14)));
-    BOOST_TEST(!directory.note_zone(taken_back(east, 12)));
+    directory.record_zone(drained(east, 10));
+    BOOST_TEST(!directory.record_zone(drained(east, 14)));
+    BOOST_TEST(!directory.record_zone(taken_back(east, 12)));
     BOOST_TEST(usable() == "w1 ");
 }
 
@@ -108,12 +108,12 @@
 BOOST_AUTO_TEST_CASE(a_listing_takes_back_what_it_lacks)
 {
     drained_zones zones;
-    zones.note(drained(east, 10));
-    zones.note(drained(west, 11));
+    zones.record(drained(east, 10));
+    zones.record(drained(west, 11));
 
-    const auto gone = zones.missing({west}, 20);
-    BOOST_TEST((gone == std::vector<zone_statement>{taken_back(east, 20)}));
-    BOOST_TEST(zones.note(gone.front()));
+    const auto gone = zones.unlisted_updates({west}, 20);
+    BOOST_TEST((gone == std::vector<zone_update>{taken_back(east, 20)}));
+    BOOST_TEST(zones.record(gone.front()));
     BOOST_TEST(!zones.contains(east));
     BOOST_TEST(zones.contains(west));
 }
@@ -121,10 +121,10 @@
 BOOST_AUTO_TEST_CASE(an_old_listing_takes_nothing_back)
 {
     drained_zones zones;
-    zones.note(drained(east, 10));
-    for (const auto& each : zones.missing({}, 8))
+    zones.record(drained(east, 10));
+    for (const auto& each : zones.unlisted_updates({}, 8))
     {
-        BOOST_TEST(!zones.note(each));
+        BOOST_TEST(!zones.record(each));
     }
     BOOST_TEST(zones.contains(east));
 }
@@ -133,9 +133,9 @@
 {
     directory.put(
         {.id = base::upstream_id("e2"), .service = engines, .zone = east, .draining = true},
-        {.revision = 2, .heard = base::time_point(1h)});
-    directory.note_zone(drained(east, 10));
-    BOOST_TEST(directory.part_in_use() == 0.5);
+        {.revision = 2, .received = base::time_point(1h)});
+    directory.record_zone(drained(east, 10));
+    BOOST_TEST(directory.undrained_fraction() == 0.5);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/routing/test_placer.cpp
+++ b/tests/routing/test_placer.cpp
@@ -31,7 +31,7 @@
                        .service = of.id,
                        .zone = base::zone_id(zone),
                        .slots = of.engine ? of.engine->slots : 6},
-                      {.revision = 1, .heard = now});
+                      {.revision = 1, .received = now});
     }
 
     void add_engines(int count)
@@ -276,7 +276,7 @@
     BOOST_TEST(health.ejected(home.id, now) != place(request)->source.has_value());
 
     // Its zone is drained: it has another home.
-    directory.note_zone({.zone = base::zone_id("z1"), .drained = true, .revision = 1});
+    directory.record_zone({.zone = base::zone_id("z1"), .drained = true, .revision = 1});
     BOOST_TEST(!place(request).has_value());
 }
 
--- a/tests/routing/test_row_follower.cpp
+++ b/tests/routing/test_row_follower.cpp
@@ -18,11 +18,11 @@
 BOOST_AUTO_TEST_CASE(it_reads_all_then_follows)
 {
     row_follower follower;
-    BOOST_TEST((follower.next(now).what == row_follower::step::read_all));
+    BOOST_TEST((follower.next(now).kind == row_follower::call_kind::read_all));
 
-    follower.answered(7, now);
+    follower.record_answer(7, now);
 
-    BOOST_TEST((follower.next(now).what == row_follower::step::follow));
+    BOOST_TEST((follower.next(now).kind == row_follower::call_kind::follow));
     BOOST_TEST(follower.next(now).after == 7);
 }
 
@@ -32,27 +32,27 @@
 BOOST_AUTO_TEST_CASE(with_its_history_gone_the_table_is_read_whole_again)
 {
     row_follower follower;
-    follower.answered(7, now);
+    follower.record_answer(7, now);
 
-    follower.history_gone(now);
+    follower.record_history_gone(now);
 
-    BOOST_TEST((follower.next(now).what == row_follower::step::read_all));
+    BOOST_TEST((follower.next(now).kind == row_follower::call_kind::read_all));
 }
 
 BOOST_AUTO_TEST_CASE(failures_are_spaced_and_the_space_is_bounded)
 {
-    row_follower follower({.first_pause = 100ms, .longest_pause = 400ms});
-    follower.answered(7, now);
-    follower.failed(now);
+    row_follower follower({.initial_backoff = 100ms, .max_backoff = 400ms});
+    follower.record_answer(7, now);
+    follower.record_failure(now);
     BOOST_TEST(follower.lost());
-    BOOST_TEST((follower.next(now).at == now + 100ms));
+    BOOST_TEST((follower.next(now).not_before == now + 100ms));
     for (int failure = 0; failure < 50; ++failure)
     {
-        follower.failed(now);
+        follower.record_failure(now);
     }
-    BOOST_TEST((follower.next(now).at == now + 400ms));
+    BOOST_TEST((follower.next(now).not_before == now + 400ms));
 
-    follower.answered(8, now);
+    follower.record_answer(8, now);
     BOOST_TEST(!follower.lost());
 }
 
@@ -62,10 +62,10 @@
 BOOST_AUTO_TEST_CASE(while_the_store_is_lost_calls_are_not_held)
 {
     row_follower follower({.hold = 1500ms});
-    follower.answered(7, now);
+    follower.record_answer(7, now);
     BOOST_TEST((follower.next(now).hold == 1500ms));
 
-    follower.failed(now);
+    follower.record_failure(now);
 
     BOOST_TEST((follower.next(now).hold == 0ms));
 }
@@ -73,17 +73,17 @@
 BOOST_AUTO_TEST_CASE(a_table_that_changes_all_the_time_is_asked_for_at_bounded_intervals)
 {
     row_follower follower({.gap = 350ms});
-    follower.answered(7, now);
+    follower.record_answer(7, now);
 
-    BOOST_TEST((follower.next(now).at == now + 350ms));
+    BOOST_TEST((follower.next(now).not_before == now + 350ms));
 }
 
 // Symptom: after a reply that was overtaken, changes were asked for from an older revision.
 BOOST_AUTO_TEST_CASE(the_revision_never_goes_back)
 {
     row_follower follower;
-    follower.answered(9, now);
-    follower.answered(7, now);
+    follower.record_answer(9, now);
+    follower.record_answer(7, now);
 
     BOOST_TEST(follower.revision() == 9);
 }
--- a/tests/routing/test_table_relay.cpp
+++ b/tests/routing/test_table_relay.cpp
@@ -13,7 +13,7 @@
 {
 
 const base::time_point start(1h);
-constexpr std::uint64_t mark = 77;
+constexpr std::uint64_t content_hash = 77;
 
 /// A zone of ten routers of one size, each with its own view of the others. Time goes on in steps
 /// of a digest; followers get an answer of the store in each.
@@ -26,7 +26,7 @@
         for (int number = 0; number < size; ++number)
         {
             relays.emplace_back(id(number), relay_options{.leaving_notice = 3000ms});
-            states.push_back({.follows = true, .revision = 5, .mark = mark});
+            states.push_back({.polls_store = true, .revision = 5, .content_hash = content_hash});
         }
         step();
     }
@@ -42,13 +42,13 @@
         for (int number = 0; number < size; ++number)
         {
             auto& state = states[number];
-            state.lost = relays[number].lost(now);
-            state.answers += state.follows && !cut[number] ? 1 : 0;
-            if (state.follows && cut[number])
+            state.store_unreachable = relays[number].is_store_unreachable(now);
+            state.answer_count += state.polls_store && !cut[number] ? 1 : 0;
+            if (state.polls_store && cut[number])
             {
-                relays[number].note_lost(now);
+                relays[number].record_store_unreachable(now);
             }
-            relays[number].set_own(1, state, true, now);
+            relays[number].set_own_state(1, state, true, now);
         }
         for (int from = 0; from < size; ++from)
         {
@@ -56,13 +56,13 @@
             {
                 if (from != to && !silent[from] && !silent[to])
                 {
-                    relays[to].heard(id(from), 1, states[from], now);
+                    relays[to].record_peer(id(from), 1, states[from], now);
                 }
             }
         }
         for (int number = 0; number < size; ++number)
         {
-            states[number].follows = relays[number].follows(now);
+            states[number].polls_store = relays[number].should_poll_store(now);
         }
     }
 
@@ -74,12 +74,12 @@
         }
     }
 
-    std::vector<int> followers() const
+    std::vector<int> pollers() const
     {
         std::vector<int> out;
         for (int number = 0; number < size; ++number)
         {
-            if (states[number].follows && !cut[number] && !silent[number])
+            if (states[number].polls_store && !cut[number] && !silent[number])
             {
                 out.push_back(number);
             }
@@ -103,11 +103,11 @@
 BOOST_AUTO_TEST_CASE(two_routers_of_a_zone_ask_the_store_and_stay_the_same)
 {
     run(1s);
-    const auto chosen = followers();
+    const auto chosen = pollers();
     run(20s);
 
     BOOST_TEST(chosen.size() == 2);
-    BOOST_TEST(followers() == chosen, boost::test_tools::per_element());
+    BOOST_TEST(pollers() == chosen, boost::test_tools::per_element());
 }
 
 // Symptom: routers sent requests to an upstream that had left.
@@ -117,25 +117,25 @@
 BOOST_AUTO_TEST_CASE(others_ask_within_the_notice_when_both_that_asked_are_gone)
 {
     run(1s);
-    for (const auto number : followers())
+    for (const auto number : pollers())
     {
         silent[number] = true;
     }
     run(2400ms);
 
-    BOOST_TEST(followers().size() >= 2);
+    BOOST_TEST(pollers().size() >= 2);
 }
 
 BOOST_AUTO_TEST_CASE(others_ask_within_the_notice_when_both_that_asked_are_cut_off_from_the_store)
 {
     run(1s);
-    for (const auto number : followers())
+    for (const auto number : pollers())
     {
         cut[number] = true;
     }
     run(2400ms);
 
-    BOOST_TEST(followers().size() >= 2);
+    BOOST_TEST(pollers().size() >= 2);
 }
 
 // Symptom: as above, with the next in line cut off too.
@@ -148,7 +148,7 @@
     }
     run(3s);
 
-    BOOST_TEST(states[size - 1].follows);
+    BOOST_TEST(states[size - 1].polls_store);
 }
 
 BOOST_AUTO_TEST_CASE(a_router_that_hears_nobody_asks_by_itself)
@@ -157,91 +157,97 @@
     silent.fill(true);
     run(2s);
 
-    BOOST_TEST(states[0].follows);
-    BOOST_TEST(states[size - 1].follows);
+    BOOST_TEST(states[0].polls_store);
+    BOOST_TEST(states[size - 1].polls_store);
 }
 
 // Symptom: all routers of a fleet that started at one moment read all tables from the store.
 BOOST_AUTO_TEST_CASE(a_router_that_starts_waits_for_a_copy_and_then_asks)
 {
     table_relay relay(id(0), {.leaving_notice = 3000ms});
-    relay.rely_on_others(start);
-    BOOST_TEST(!relay.follows(start + 900ms));
-    BOOST_TEST(relay.follows(start + 1000ms));
+    relay.wait_for_peers(start);
+    BOOST_TEST(!relay.should_poll_store(start + 900ms));
+    BOOST_TEST(relay.should_poll_store(start + 1000ms));
 
-    relay.rely_on_others(start);
-    relay.stop_relying();
-    BOOST_TEST(relay.follows(start));
+    relay.wait_for_peers(start);
+    relay.stop_waiting_for_peers();
+    BOOST_TEST(relay.should_poll_store(start));
 }
 
 // Symptom: the same, a second later: each had a copy, and knew nobody of its zone yet.
 BOOST_AUTO_TEST_CASE(a_router_that_starts_goes_by_a_confirmed_copy_until_it_hears_its_zone)
 {
     table_relay relay(id(0), {.leaving_notice = 3000ms});
-    relay.rely_on_others(start);
-    const table_state copied{.follows = true, .answers = 1, .revision = 5, .mark = mark};
-    relay.note_copied(id(1), copied, start + 500ms);
-    relay.set_own(1, {.revision = 5, .mark = mark}, true, start + 500ms);
-    BOOST_TEST(!relay.follows(start + 2s));
+    relay.wait_for_peers(start);
+    const table_state copied{
+        .polls_store = true, .answer_count = 1, .revision = 5, .content_hash = content_hash};
+    relay.record_copy(id(1), copied, start + 500ms);
+    relay.set_own_state(1, {.revision = 5, .content_hash = content_hash}, true, start + 500ms);
+    BOOST_TEST(!relay.should_poll_store(start + 2s));
     // As for any copy that nobody confirms any more, in time for an upstream that leaves.
-    BOOST_TEST(relay.follows(start + 3s));
+    BOOST_TEST(relay.should_poll_store(start + 3s));
 
     auto confirming = copied;
     for (auto now = start + 1s; now <= start + 4s; now += 500ms)
     {
-        ++confirming.answers;
-        relay.heard(id(1), 1, confirming, now);
+        ++confirming.answer_count;
+        relay.record_peer(id(1), 1, confirming, now);
     }
-    BOOST_TEST(!relay.follows(start + 3900ms));
+    BOOST_TEST(!relay.should_poll_store(start + 3900ms));
     // In a zone of few routers each asks in the end.
-    BOOST_TEST(relay.follows(start + 4s));
+    BOOST_TEST(relay.should_poll_store(start + 4s));
 }
 
 BOOST_AUTO_TEST_CASE(a_router_that_hears_its_zone_asks_if_it_is_its_turn)
 {
     table_relay relay(id(0), {.leaving_notice = 3000ms});
-    relay.rely_on_others(start);
-    const table_state copied{.follows = true, .answers = 1, .revision = 5, .mark = mark};
-    relay.note_copied(id(1), copied, start);
-    relay.set_own(4, {.revision = 5, .mark = mark}, true, start);
+    relay.wait_for_peers(start);
+    const table_state copied{
+        .polls_store = true, .answer_count = 1, .revision = 5, .content_hash = content_hash};
+    relay.record_copy(id(1), copied, start);
+    relay.set_own_state(4, {.revision = 5, .content_hash = content_hash}, true, start);
     for (int number = 1; number < 6; ++number)
     {
-        relay.heard(id(number), 1, copied, start + 100ms);
+        relay.record_peer(id(number), 1, copied, start + 100ms);
     }
 
-    BOOST_TEST(relay.follows(start + 100ms));
+    BOOST_TEST(relay.should_poll_store(start + 100ms));
 }
 
 BOOST_AUTO_TEST_CASE(in_a_small_zone_all_ask)
 {
     table_relay relay(id(0), {.leaving_notice = 3000ms});
-    relay.set_own(1, {.follows = true, .answers = 1}, true, start);
+    relay.set_own_state(1, {.polls_store = true, .answer_count = 1}, true, start);
     for (int number = 1; number < 4; ++number)
     {
-        relay.heard(id(number), 1, {.follows = true, .answers = 1}, start);
+        relay.record_peer(id(number), 1, {.polls_store = true, .answer_count = 1}, start);
     }
 
-    BOOST_TEST(relay.follows(start));
+    BOOST_TEST(relay.should_poll_store(start));
 }
 
 BOOST_AUTO_TEST_CASE(a_newer_copy_that_says_something_else_is_taken_over_once)
 {
     run(1s);
-    const auto from = followers()[0];
-    const auto resting =
-        std::find_if(states.begin(), states.end(), [](const auto& each) { return !each.follows; });
+    const auto from = pollers()[0];
+    const auto resting = std::find_if(states.begin(), states.end(),
+                                      [](const auto& each) { return !each.polls_store; });
     auto& relay = relays[static_cast<std::size_t>(resting - states.begin())];
     BOOST_TEST(!relay.source(now).has_value());
 
-    const table_state changed{.follows = true, .answers = 90, .revision = 9, .mark = mark + 1};
-    relay.heard(id(from), 1, changed, now);
+    const table_state changed{
+        .polls_store = true, .answer_count = 90, .revision = 9, .content_hash = content_hash + 1};
+    relay.record_peer(id(from), 1, changed, now);
     BOOST_REQUIRE(relay.source(now).has_value());
     BOOST_TEST(*relay.source(now) == id(from));
-    relay.note_copied(id(from), changed, now);
+    relay.record_copy(id(from), changed, now);
 
     BOOST_TEST(!relay.source(now).has_value());
     // One that lags behind is no source.
-    relay.heard(id(8), 1, {.follows = true, .answers = 91, .revision = 8, .mark = mark}, now);
+    relay.record_peer(
+        id(8), 1,
+        {.polls_store = true, .answer_count = 91, .revision = 8, .content_hash = content_hash},
+        now);
     BOOST_TEST(!relay.source(now).has_value());
 }
 
--- a/tests/routing/test_upstream_directory.cpp
+++ b/tests/routing/test_upstream_directory.cpp
@@ -23,10 +23,10 @@
 }
 
 /// Each newer than the one before, as the store tells them.
-routing::said next(base::time_point heard = start())
+routing::update_stamp next(base::time_point received = start())
 {
     static std::uint64_t revision = 100;
-    return {.revision = ++revision, .heard = heard};
+    return {.revision = ++revision, .received = received};
 }
 
 }  // namespace
@@ -60,13 +60,13 @@
 // Cause: an entry that lapsed during the outage was taken for an upstream that leaves.
 BOOST_AUTO_TEST_CASE(entries_that_lapsed_during_an_outage_are_believed_gone_only_after_the_grace)
 {
-    upstream_directory directory({.return_grace = 2300ms});
+    upstream_directory directory({.recovery_grace = 2300ms});
     directory.put(make("a"), next());
     directory.put(make("b"), next());
-    directory.store_lost(start() - 5s);
-    directory.store_back(start());
+    directory.record_store_lost(start() - 5s);
+    directory.record_store_recovered(start());
 
-    directory.keep_only({}, next());
+    directory.remove_unlisted({}, next());
     directory.expire(start() + 2299ms);
     BOOST_TEST(directory.usable(engines).size() == 2);
 
@@ -80,8 +80,8 @@
 {
     upstream_directory directory;
     directory.put(make("a", true), next());
-    directory.store_lost(start() - 5s);
-    directory.store_back(start());
+    directory.record_store_lost(start() - 5s);
+    directory.record_store_recovered(start());
 
     directory.remove(base::upstream_id("a"), next(start() + 1ms));
 
@@ -92,9 +92,9 @@
 {
     upstream_directory directory;
     directory.put(make("a"), next());
-    directory.store_lost(start() - 5s);
+    directory.record_store_lost(start() - 5s);
 
-    directory.forget(base::upstream_id("a"));
+    directory.discard(base::upstream_id("a"));
 
     BOOST_TEST(directory.size() == 0);
 }
@@ -107,13 +107,13 @@
 {
     upstream_directory directory;
     directory.put(make("a"), next());
-    directory.store_lost(start() - 8s);
-    BOOST_TEST(!directory.doubts_since().has_value());
-    directory.store_back(start());
+    directory.record_store_lost(start() - 8s);
+    BOOST_TEST(!directory.deferring_outage_start().has_value());
+    directory.record_store_recovered(start());
     directory.remove(base::upstream_id("a"), next(start()));
-    BOOST_TEST((directory.doubts_since() == start() - 8s));
+    BOOST_TEST((directory.deferring_outage_start() == start() - 8s));
 
-    directory.store_was_there(start());
+    directory.cancel_grace(start());
 
     BOOST_TEST(directory.usable(engines).empty());
 }
@@ -124,16 +124,17 @@
 {
     using change = upstream_directory::change;
     upstream_directory directory;
-    const auto entry = [](std::chrono::milliseconds born, bool draining)
+    const auto entry = [](std::chrono::milliseconds process_start, bool draining)
     {
-        return upstream{.id = base::upstream_id("i-1"), .draining = draining, .born = born};
+        return upstream{
+            .id = base::upstream_id("i-1"), .draining = draining, .process_start = process_start};
     };
-    BOOST_TEST((directory.put(entry(1000ms, true), next()) == change::same_life));
+    BOOST_TEST((directory.put(entry(1000ms, true), next()) == change::same_incarnation));
     BOOST_TEST((directory.put(entry(2000ms, false), next()) == change::restarted));
 
     BOOST_TEST((directory.put(entry(1000ms, true), next()) == change::outdated));
     BOOST_TEST(!directory.find(base::upstream_id("i-1"))->draining);
-    directory.forget(base::upstream_id("i-1"));
+    directory.discard(base::upstream_id("i-1"));
     BOOST_TEST((directory.put(entry(1000ms, true), next()) == change::outdated));
     BOOST_TEST(directory.size() == 0);
 }
@@ -146,20 +147,20 @@
     upstream_directory here;
     upstream_directory there;
     const base::service_id plain("plain");
-    upstream entry{.id = base::upstream_id("i-1"), .service = plain, .born = 1000ms};
+    upstream entry{.id = base::upstream_id("i-1"), .service = plain, .process_start = 1000ms};
     here.put(entry, next(start()));
     there.put(entry, next(start()));
     there.remove(entry.id, next());
     const auto told = there.leaving(start() + 1s);
     BOOST_REQUIRE(told.size() == 1);
 
-    here.leaves(told[0], start() + 1s);
+    here.record_leaving(told[0], start() + 1s);
     BOOST_TEST(here.usable(plain).empty());
     here.expire(start() + 6s);
     BOOST_TEST(here.usable(plain).size() == 1);
     // Another life under the same id isn't meant.
-    here.leaves(told[0], start() + 7s);
-    entry.born = 2000ms;
+    here.record_leaving(told[0], start() + 7s);
+    entry.process_start = 2000ms;
     here.put(entry, next(start() + 7s));
     BOOST_TEST(here.usable(plain).size() == 1);
     there.put(entry, next(start() + 7s));
@@ -174,17 +175,19 @@
     using change = upstream_directory::change;
     upstream_directory directory;
     const base::upstream_id id("a");
-    directory.put(make("a", true), {.revision = 9, .heard = start()});
+    directory.put(make("a", true), {.revision = 9, .received = start()});
 
-    BOOST_TEST((directory.put(make("a"), {.revision = 5, .heard = start()}) == change::outdated));
+    BOOST_TEST(
+        (directory.put(make("a"), {.revision = 5, .received = start()}) == change::outdated));
     BOOST_TEST(directory.usable(engines).empty());
-    BOOST_TEST((directory.remove(id, {.revision = 12, .heard = start()}) ==
-                upstream_directory::removal::believed));
-    BOOST_TEST((directory.put(make("a"), {.revision = 11, .heard = start()}) == change::outdated));
+    BOOST_TEST((directory.remove(id, {.revision = 12, .received = start()}) ==
+                upstream_directory::removal::applied));
+    BOOST_TEST(
+        (directory.put(make("a"), {.revision = 11, .received = start()}) == change::outdated));
     BOOST_TEST(directory.size() == 0);
     // It registered anew, as after an outage in which its entry lapsed.
-    directory.put(make("a"), {.revision = 13, .heard = start()});
-    BOOST_TEST((directory.remove(id, {.revision = 12, .heard = start()}) ==
+    directory.put(make("a"), {.revision = 13, .received = start()});
+    BOOST_TEST((directory.remove(id, {.revision = 12, .received = start()}) ==
                 upstream_directory::removal::outdated));
     BOOST_TEST(directory.usable(engines).size() == 1);
 }
@@ -195,10 +198,10 @@
 BOOST_AUTO_TEST_CASE(an_older_listing_removes_nothing_that_is_newer)
 {
     upstream_directory directory;
-    directory.put(make("a"), {.revision = 5, .heard = start()});
-    directory.put(make("b"), {.revision = 9, .heard = start()});
+    directory.put(make("a"), {.revision = 5, .received = start()});
+    directory.put(make("b"), {.revision = 9, .received = start()});
 
-    const auto removed = directory.keep_only({}, {.revision = 7, .heard = start()});
+    const auto removed = directory.remove_unlisted({}, {.revision = 7, .received = start()});
 
     BOOST_REQUIRE(removed.size() == 1);
     BOOST_TEST(removed[0].str() == "a");
@@ -212,10 +215,10 @@
 {
     upstream_directory directory;
     const base::upstream_id id("a");
-    directory.put(make("a"), {.revision = 5, .heard = start()});
-    directory.forget(id);
+    directory.put(make("a"), {.revision = 5, .received = start()});
+    directory.discard(id);
 
-    directory.put(make("a"), {.revision = 5, .heard = start()});
+    directory.put(make("a"), {.revision = 5, .received = start()});
 
     BOOST_TEST(directory.size() == 0);
 }
@@ -223,13 +226,13 @@
 // An entry that lapsed and waits for the end of the grace isn't confirmed by an older statement.
 BOOST_AUTO_TEST_CASE(an_older_statement_does_not_end_the_wait_of_a_missing_entry)
 {
-    upstream_directory directory({.return_grace = 2300ms});
-    directory.put(make("a"), {.revision = 5, .heard = start()});
-    directory.store_lost(start() - 5s);
-    directory.store_back(start());
-    directory.remove(base::upstream_id("a"), {.revision = 8, .heard = start()});
+    upstream_directory directory({.recovery_grace = 2300ms});
+    directory.put(make("a"), {.revision = 5, .received = start()});
+    directory.record_store_lost(start() - 5s);
+    directory.record_store_recovered(start());
+    directory.remove(base::upstream_id("a"), {.revision = 8, .received = start()});
 
-    directory.put(make("a"), {.revision = 6, .heard = start()});
+    directory.put(make("a"), {.revision = 6, .received = start()});
     directory.expire(start() + 2300ms);
 
     BOOST_TEST(directory.size() == 0);
@@ -238,15 +241,15 @@
 // What was said of entries that are gone is forgotten some time, or it would grow for ever.
 BOOST_AUTO_TEST_CASE(statements_about_entries_that_are_gone_are_forgotten_after_long)
 {
-    upstream_directory directory({.remembered = 1h});
-    directory.put(make("a"), {.revision = 5, .heard = start()});
-    directory.remove(base::upstream_id("a"), {.revision = 8, .heard = start()});
+    upstream_directory directory({.tombstone_retention = 1h});
+    directory.put(make("a"), {.revision = 5, .received = start()});
+    directory.remove(base::upstream_id("a"), {.revision = 8, .received = start()});
 
     directory.expire(start() + 1h - 1ms);
-    directory.put(make("a"), {.revision = 6, .heard = start()});
+    directory.put(make("a"), {.revision = 6, .received = start()});
     BOOST_TEST(directory.size() == 0);
     directory.expire(start() + 1h);
-    directory.put(make("a"), {.revision = 6, .heard = start()});
+    directory.put(make("a"), {.revision = 6, .received = start()});
     BOOST_TEST(directory.size() == 1);
 }
 
