--- a/src/libcaraway/routing/row_follower.hpp
+++ b/src/libcaraway/routing/row_follower.hpp
@@ -9,17 +9,18 @@
 
 struct follower_options
 {
-    /// How long the store may hold a call that waits for changes. It bounds how long a connection
-    /// that went silent goes unnoticed.
+    /// How long the store may hold a long-polling call that waits for changes. This bounds how long
+    /// a silently broken connection goes unnoticed.
     std::chrono::milliseconds hold{1500};
-    /// Time between two calls, so that a table that changes all the time costs a bounded number.
+    /// The least time between an answer and the next call. Bounds the rate of calls for a table
+    /// that changes constantly.
     std::chrono::milliseconds gap{0};
     std::chrono::milliseconds initial_backoff{100};
     std::chrono::milliseconds max_backoff{400};
 };
 
-/// Keeps a copy of a table of the platform's store up to date: reads it whole, then asks for what
-/// changed since. Knows when the copy can't be trusted to be fresh.
+/// Decides which calls keep a copy of a table in the platform's store up to date: one that reads
+/// the whole table, then calls for the changes since. Tracks whether the copy may be stale.
 class row_follower
 {
 public:
@@ -32,43 +33,43 @@
     struct call
     {
         call_kind kind = call_kind::read_all;
-        /// Revision from which changes are wanted.
+        /// Changes after this revision are requested.
         std::uint64_t after = 0;
         std::chrono::milliseconds hold{};
-        /// Not before then.
+        /// The earliest time for the call.
         base::time_point not_before{};
     };
 
     explicit row_follower(follower_options options = {});
 
-    /// In a large fleet each router asks less often; the others tell it of what it missed
-    /// meanwhile.
+    /// Sets the options of the same names. In a large fleet each router calls less often; its peers
+    /// report the changes in between.
     void set_pace(std::chrono::milliseconds gap, std::chrono::milliseconds hold)
     {
         options_.gap = gap;
         options_.hold = hold;
     }
-    /// How long it waits at most after calls that failed.
-    void set_max_backoff(std::chrono::milliseconds pause)
+    /// The longest wait after failed calls.
+    void set_max_backoff(std::chrono::milliseconds backoff)
     {
-        options_.max_backoff = pause;
+        options_.max_backoff = backoff;
     }
 
-    /// What to ask next. While the store is lost, calls aren't held there: one that got lost itself
-    /// would keep the next from finding out that the store is back.
+    /// The next call to make. While the store is unreachable, calls have a hold of zero: a held
+    /// call whose answer is lost would delay the next one, which would detect the store's recovery.
     call next(base::time_point now) const;
 
-    /// Answered, up to that revision.
+    /// The copy is current up to `revision`. An older revision than the known one doesn't lower it.
     void record_answer(std::uint64_t revision, base::time_point now);
-    /// The store no longer has the changes asked for; those in between are lost, so all is read.
+    /// The store no longer has the requested changes, so the whole table must be read again.
     void record_history_gone(base::time_point now);
-    /// Refused, or no answer in time.
+    /// The call was refused or timed out.
     void record_failure(base::time_point now);
 
     /// Whether the last call failed.
     bool lost() const
     {
-        return failures_ > 0;
+        return consecutive_failures_ > 0;
     }
     bool has_read() const
     {
@@ -82,10 +83,10 @@
 private:
     follower_options options_;
     bool has_read_ = false;
-    bool read_needed_ = true;
+    bool needs_full_read_ = true;
     std::uint64_t revision_ = 0;
-    std::uint32_t failures_ = 0;
-    base::time_point earliest_{};
+    std::uint32_t consecutive_failures_ = 0;
+    base::time_point not_before_{};
 };
 
 }  // namespace caraway::routing
--- a/src/libcaraway/routing/upstream_directory.cpp
+++ b/src/libcaraway/routing/upstream_directory.cpp
@@ -10,27 +10,27 @@
 
 upstream_directory::upstream_directory(directory_options options) : options_(options) {}
 
-upstream_directory::change upstream_directory::put(const upstream& entry, const update_stamp& when)
+upstream_directory::change upstream_directory::put(const upstream& entry, const update_stamp& stamp)
 {
-    const auto known = last_.find(entry.id);
+    const auto known = last_updates_.find(entry.id);
     const bool restarted =
-        known != last_.end() && entry.process_start > known->second.process_start;
-    const bool of_ended_life =
-        known != last_.end() && entry.process_start < known->second.process_start;
-    if (of_ended_life || !is_news(entry.id, when))
+        known != last_updates_.end() && entry.process_start > known->second.process_start;
+    const bool is_previous_incarnation =
+        known != last_updates_.end() && entry.process_start < known->second.process_start;
+    if (is_previous_incarnation || !accept_update(entry.id, stamp))
     {
         return change::outdated;
     }
-    last_[entry.id].process_start = entry.process_start;
-    missing_.erase(entry.id);
-    auto& kept = entries_[entry.id];
-    kept = entry;
-    kept.hash = scheduling::stable_hash(entry.id.str());
+    last_updates_[entry.id].process_start = entry.process_start;
+    deferred_removals_.erase(entry.id);
+    auto& stored = entries_[entry.id];
+    stored = entry;
+    stored.hash = scheduling::stable_hash(entry.id.str());
     changes_.record(entry.id);
-    usable_.clear();
+    usable_cache_.clear();
     if (entry.draining)
     {
-        leaving_.try_emplace(entry.id, entry.process_start, when.received);
+        leaving_.try_emplace(entry.id, entry.process_start, stamp.received);
     }
     else
     {
@@ -40,9 +40,9 @@
 }
 
 upstream_directory::removal upstream_directory::remove(const base::upstream_id& id,
-                                                       const update_stamp& when)
+                                                       const update_stamp& stamp)
 {
-    if (!is_news(id, when))
+    if (!accept_update(id, stamp))
     {
         return removal::outdated;
     }
@@ -50,31 +50,31 @@
     {
         return removal::not_listed;
     }
-    if (in_grace(when.received) && !entries_.at(id).draining)
+    if (in_grace(stamp.received) && !entries_.at(id).draining)
     {
-        missing_[id] = true;
+        deferred_removals_[id] = true;
         return removal::deferred;
     }
-    drop(id, when.received);
+    remove_entry(id, stamp.received);
     return removal::applied;
 }
 
 std::vector<base::upstream_id>
 upstream_directory::remove_unlisted(const std::set<base::upstream_id>& listed,
-                                    const update_stamp& when)
+                                    const update_stamp& stamp)
 {
-    std::vector<base::upstream_id> absent;
+    std::vector<base::upstream_id> unlisted;
     for (const auto& [id, entry] : entries_)
     {
         if (!listed.contains(id))
         {
-            absent.push_back(id);
+            unlisted.push_back(id);
         }
     }
     std::vector<base::upstream_id> removed;
-    for (const auto& id : absent)
+    for (const auto& id : unlisted)
     {
-        if (remove(id, when) == removal::applied)
+        if (remove(id, stamp) == removal::applied)
         {
             removed.push_back(id);
         }
@@ -84,68 +84,69 @@
 
 void upstream_directory::record_store_lost(base::time_point now)
 {
-    if (!lost_)
+    if (!store_lost_)
     {
-        lost_since_ = now;
+        store_lost_since_ = now;
     }
-    lost_ = true;
+    store_lost_ = true;
 }
 
 void upstream_directory::record_store_recovered(base::time_point now)
 {
-    if (!lost_)
+    if (!store_lost_)
     {
         return;
     }
-    lost_ = false;
+    store_lost_ = false;
     grace_until_ = now + options_.recovery_grace;
 }
 
 std::vector<base::upstream_id> upstream_directory::cancel_grace(base::time_point now)
 {
     grace_until_ = {};
-    return drop_missing(now);
+    return apply_deferred_removals(now);
 }
 
 std::optional<base::time_point> upstream_directory::deferring_outage_start() const
 {
-    return missing_.empty() || lost_ ? std::nullopt : std::optional(lost_since_);
+    return deferred_removals_.empty() || store_lost_ ? std::nullopt
+                                                     : std::optional(store_lost_since_);
 }
 
 std::vector<base::upstream_id> upstream_directory::expire(base::time_point now)
 {
-    auto dropped = in_grace(now) ? std::vector<base::upstream_id>{} : drop_missing(now);
-    for (auto* times : {&leaving_, &told_})
+    auto removed = in_grace(now) ? std::vector<base::upstream_id>{} : apply_deferred_removals(now);
+    for (auto* times : {&leaving_, &reported_leaving_})
     {
-        const auto ended =
-            std::erase_if(*times, [&](const auto& each)
-                          { return each.second.second + options_.leaving_retention <= now; });
-        if (ended > 0)
+        const auto erased_count = std::erase_if(
+            *times, [&](const auto& incarnation)
+            { return incarnation.second.second + options_.leaving_retention <= now; });
+        if (erased_count > 0)
         {
-            usable_.clear();
+            usable_cache_.clear();
         }
     }
-    std::erase_if(last_,
-                  [&](const auto& each)
+    std::erase_if(last_updates_,
+                  [&](const auto& update)
                   {
-                      return !entries_.contains(each.first) &&
-                             each.second.received + options_.tombstone_retention <= now;
+                      return !entries_.contains(update.first) &&
+                             update.second.received + options_.tombstone_retention <= now;
                   });
-    return dropped;
+    return removed;
 }
 
-std::vector<base::upstream_id> upstream_directory::drop_missing(base::time_point now)
+std::vector<base::upstream_id> upstream_directory::apply_deferred_removals(base::time_point now)
 {
-    std::vector<base::upstream_id> dropped;
-    for (const auto& [id, unused] : std::exchange(missing_, {}))
+    std::vector<base::upstream_id> removed;
+    for (const auto& [id, unused] : std::exchange(deferred_removals_, {}))
     {
-        drop(id, now);
-        dropped.push_back(id);
+        remove_entry(id, now);
+        removed.push_back(id);
     }
-    return dropped;
+    return removed;
 }
 
-void upstream_directory::drop(const base::upstream_id& id, base::time_point now)
+void upstream_directory::remove_entry(const base::upstream_id& id, base::time_point now)
 {
     if (const auto* known = find(id))
     {
@@ -154,27 +155,27 @@
     discard(id);
 }
 
-void upstream_directory::record_leaving(const leaving_upstream& what, base::time_point now)
+void upstream_directory::record_leaving(const leaving_upstream& entry, base::time_point now)
 {
-    auto& told = told_[what.id];
-    if (told.first != what.process_start || told.second == base::time_point{})
+    auto& reported = reported_leaving_[entry.id];
+    if (reported.first != entry.process_start || reported.second == base::time_point{})
     {
-        usable_.clear();
+        usable_cache_.clear();
     }
-    told = {what.process_start, now};
+    reported = {entry.process_start, now};
 }
 
 std::vector<leaving_upstream> upstream_directory::leaving(base::time_point now) const
 {
-    std::vector<leaving_upstream> out;
-    for (const auto& [id, each] : leaving_)
+    std::vector<leaving_upstream> result;
+    for (const auto& [id, incarnation] : leaving_)
     {
-        if (each.second + options_.leaving_retention > now)
+        if (incarnation.second + options_.leaving_retention > now)
         {
-            out.push_back({.id = id, .process_start = each.first});
+            result.push_back({.id = id, .process_start = incarnation.first});
         }
     }
-    return out;
+    return result;
 }
 
 void upstream_directory::discard(const base::upstream_id& id)
@@ -183,13 +184,13 @@
     {
         changes_.record(id);
     }
-    missing_.erase(id);
-    usable_.clear();
+    deferred_removals_.erase(id);
+    usable_cache_.clear();
 }
 
-bool upstream_directory::discard(const base::upstream_id& id, const update_stamp& when)
+bool upstream_directory::discard(const base::upstream_id& id, const update_stamp& stamp)
 {
-    if (!is_news(id, when))
+    if (!accept_update(id, stamp))
     {
         return false;
     }
@@ -197,24 +198,24 @@
     return true;
 }
 
-bool upstream_directory::is_news(const base::upstream_id& id, const update_stamp& when)
+bool upstream_directory::accept_update(const base::upstream_id& id, const update_stamp& stamp)
 {
-    const auto [known, first] = last_.try_emplace(id);
-    if (!first && when.revision <= known->second.revision)
+    const auto [known, inserted] = last_updates_.try_emplace(id);
+    if (!inserted && stamp.revision <= known->second.revision)
     {
         return false;
     }
-    known->second.revision = when.revision;
-    known->second.received = when.received;
+    known->second.revision = stamp.revision;
+    known->second.received = stamp.received;
     return true;
 }
 
-bool upstream_directory::record_zone(const zone_update& what)
+bool upstream_directory::record_zone(const zone_update& update)
 {
-    const bool changed = zones_.record(what);
+    const bool changed = zones_.record(update);
     if (changed)
     {
-        usable_.clear();
+        usable_cache_.clear();
     }
     return changed;
 }
@@ -226,48 +227,49 @@
         return false;
     }
     return std::any_of(entries_.begin(), entries_.end(),
-                       [&](const auto& each) {
-                           return each.second.service == service &&
-                                  zones_.contains(each.second.zone);
+                       [&](const auto& entry) {
+                           return entry.second.service == service &&
+                                  zones_.contains(entry.second.zone);
                        });
 }
 
 double upstream_directory::undrained_fraction() const
 {
-    std::size_t all = 0;
-    std::size_t used = 0;
-    for (const auto& [id, each] : entries_)
+    std::size_t total = 0;
+    std::size_t undrained = 0;
+    for (const auto& [id, entry] : entries_)
     {
-        all += each.draining ? 0 : 1;
-        used += each.draining || zones_.contains(each.zone) ? 0 : 1;
+        total += entry.draining ? 0 : 1;
+        undrained += entry.draining || zones_.contains(entry.zone) ? 0 : 1;
     }
-    return all == 0 ? 1 : static_cast<double>(used) / static_cast<double>(all);
+    return total == 0 ? 1 : static_cast<double>(undrained) / static_cast<double>(total);
 }
 
 const std::vector<const upstream*>&
 upstream_directory::usable(const base::service_id& service) const
 {
-    const auto [place, added] = usable_.try_emplace(service);
-    auto& found = place->second;
-    if (!added)
+    const auto [position, inserted] = usable_cache_.try_emplace(service);
+    auto& upstreams = position->second;
+    if (!inserted)
     {
-        return found;
+        return upstreams;
     }
     for (const auto& [id, entry] : entries_)
     {
         if (entry.service == service && is_usable(entry))
         {
-            found.push_back(&entry);
+            upstreams.push_back(&entry);
         }
     }
-    return found;
+    return upstreams;
 }
 
-bool upstream_directory::is_usable(const upstream& of) const
+bool upstream_directory::is_usable(const upstream& entry) const
 {
-    const auto told = told_.find(of.id);
-    const bool leaves = told != told_.end() && told->second.first == of.process_start;
-    return !of.draining && !leaves && !zones_.contains(of.zone);
+    const auto reported = reported_leaving_.find(entry.id);
+    const bool is_leaving =
+        reported != reported_leaving_.end() && reported->second.first == entry.process_start;
+    return !entry.draining && !is_leaving && !zones_.contains(entry.zone);
 }
 
 const upstream* upstream_directory::find(const base::upstream_id& id) const
@@ -280,40 +282,40 @@
 {
     using scheduling::combine;
     using scheduling::stable_hash;
-    if (mark_.first == changes_.position())
+    if (cached_hash_.first == changes_.position())
     {
-        return mark_.second;
+        return cached_hash_.second;
     }
-    std::uint64_t all = 0;
+    std::uint64_t hash = 0;
     for (const auto& [id, entry] : entries_)
     {
-        all = combine(all, entry.hash);
-        all = combine(all, stable_hash(entry.service.str()));
-        all = combine(all, stable_hash(entry.address.ip));
-        all = combine(all, entry.address.port);
-        all = combine(all, entry.slots * 2U + (entry.draining ? 1U : 0U));
-        // Not how long: it counts down, and each router does that by itself.
-        all = combine(all, entry.warmup_left.value_or(std::chrono::milliseconds(0)).count() > 0);
-        all = combine(all, static_cast<std::uint64_t>(entry.process_start.count()));
+        hash = combine(hash, entry.hash);
+        hash = combine(hash, stable_hash(entry.service.str()));
+        hash = combine(hash, stable_hash(entry.address.ip));
+        hash = combine(hash, entry.address.port);
+        hash = combine(hash, entry.slots * 2U + (entry.draining ? 1U : 0U));
+        // Only whether it is cold: the remaining time counts down at each router independently.
+        hash = combine(hash, entry.warmup_left.value_or(std::chrono::milliseconds(0)).count() > 0);
+        hash = combine(hash, static_cast<std::uint64_t>(entry.process_start.count()));
     }
-    mark_ = {changes_.position(), all};
-    return all;
+    cached_hash_ = {changes_.position(), hash};
+    return hash;
 }
 
 std::uint64_t upstream_directory::revision_of(const base::upstream_id& id) const
 {
-    const auto known = last_.find(id);
-    return known == last_.end() ? 0 : known->second.revision;
+    const auto known = last_updates_.find(id);
+    return known == last_updates_.end() ? 0 : known->second.revision;
 }
 
 bool upstream_directory::in_grace(base::time_point now) const
 {
-    return lost_ || now < grace_until_;
+    return store_lost_ || now < grace_until_;
 }
 
-std::string_view name(upstream_directory::removal of)
+std::string_view name(upstream_directory::removal outcome)
 {
-    switch (of)
+    switch (outcome)
     {
     case upstream_directory::removal::not_listed:
         return "not_listed";
--- a/src/libcaraway/routing/upstream_directory.hpp
+++ b/src/libcaraway/routing/upstream_directory.hpp
@@ -15,7 +15,7 @@
 namespace caraway::routing
 {
 
-/// Where an upstream is reached.
+/// The network address of an upstream.
 struct endpoint
 {
     std::string ip;
@@ -24,7 +24,7 @@
     friend bool operator==(const endpoint&, const endpoint&) = default;
 };
 
-/// One life of an upstream, as the platform lists it.
+/// One incarnation of an upstream, as listed by the platform.
 struct upstream
 {
     base::upstream_id id;
@@ -32,139 +32,147 @@
     endpoint address;
     base::zone_id zone;
     std::uint32_t slots = 1;
-    /// Takes no new requests; ends soon.
+    /// Shutting down: takes no new requests.
     bool draining = false;
-    /// The start of its process, by its own clock, since the epoch; 0: not told. A later one under
-    /// the same id is another process, which holds and knows nothing of the one before.
+    /// When its process started, by the upstream's clock, since the epoch; 0 if unknown. A later
+    /// start under the same id is another process, which has none of the previous one's state.
     std::chrono::milliseconds process_start{};
-    /// How long it stays cold after its start, by its own word when it was written; nothing: it
-    /// didn't say.
+    /// Remaining warm-up time that the upstream reported when its entry was written; empty if it
+    /// reported none.
     std::optional<std::chrono::milliseconds> warmup_left;
-    /// Of the id, the same at all routers; the directory fills it in.
+    /// Hash of `id`, equal at all routers. Set by the directory.
     std::uint64_t hash = 0;
 };
 
-/// A life of an upstream that takes no new requests.
+/// An incarnation of an upstream that takes no new requests.
 struct leaving_upstream
 {
     base::upstream_id id;
     std::chrono::milliseconds process_start{};
 };
 
-/// When something was said of entries.
+/// Orders updates of entries.
 struct update_stamp
 {
-    /// The store's revision in which it was written, or up to which a listing is current. It rises
-    /// with each change of any row, whoever tells of it.
+    /// The store's revision that wrote the row, or up to which a listing is current. The store
+    /// raises it with each change of any row, so it orders updates from all sources.
     std::uint64_t revision = 0;
-    /// When this router heard of it.
+    /// When this router received the update.
     base::time_point received{};
 };
 
 struct directory_options
 {
-    /// Entries that lapsed while the platform's store was away are back within two seconds of its
-    /// return if the upstream lives (the platform's contract); a little more for the way.
+    /// How long removals are deferred after an outage of the platform's store. By the platform's
+    /// contract, live upstreams whose entries expired during the outage register again within two
+    /// seconds of its end; the rest allows for transmission.
     std::chrono::milliseconds recovery_grace{2300};
-    /// How long peers are told of one that leaves: several digests of the largest fleets.
+    /// How long peers are told of a leaving upstream: several digest periods of the largest fleets.
     std::chrono::milliseconds leaving_retention{4000};
-    /// How long it is remembered what was said last of an entry that is gone. What comes late is
-    /// seconds late: calls to the store end after 3.3 s, a suspended VM wakes within tens of
-    /// seconds.
+    /// How long the last update of a removed entry is kept, so that late updates can be recognised
+    /// as outdated. Updates arrive seconds late at most: calls to the store time out after 3.3 s,
+    /// a suspended VM resumes within tens of seconds.
     std::chrono::hours tombstone_retention{1};
 };
 
-/// The upstreams that may get requests. An entry that disappears normally means that its upstream
-/// leaves, and it gets nothing more. Around an outage of the store it means nothing yet: entries
-/// lapse because the upstreams couldn't refresh them, and a router that believed it would have no
-/// upstreams left. So removals seen during an outage or within `return_grace` of its end wait until
-/// that time is over.
+/// The upstreams that may get requests. Normally a removed entry means that its upstream is
+/// shutting down and must get no more requests. During and just after an outage of the store,
+/// entries also expire because upstreams can't refresh them; a router that applied those removals
+/// would have no upstreams left. Removals received during an outage, or within `recovery_grace` of
+/// its end, are therefore deferred until the grace period is over.
 ///
-/// Statements come from the store and from peers, some of them late: an answer may wait in a busy
-/// router while a newer copy of a peer is taken over, a peer's copy may be older than what is known
-/// here, an answer after an outage repeats what happened in it. Applied as they come, an older one
-/// put an upstream back that had left, and requests went to it until it was gone. So each carries
-/// the store's revision, and of each entry only what is newer than the last statement counts.
+/// Updates arrive from the store and from peers, possibly out of order: an answer may be delayed in
+/// a busy router while a peer's newer copy is applied, a peer's copy may be stale, and an answer
+/// after an outage repeats the changes made during it. Applied in order of arrival, a stale update
+/// would restore an upstream that has left, and requests would be sent to it until it is removed
+/// again. Each update therefore carries the store's revision, and an entry accepts only updates
+/// newer than its last one.
 class upstream_directory
 {
 public:
     explicit upstream_directory(directory_options options = {});
 
-    /// How an entry relates to what is known of the same id.
+    /// How an entry relates to the known one of the same id.
     enum class change
     {
         same_incarnation,
-        /// Another process than before: what was believed of its life before ends.
+        /// Another process than before: state kept about the previous incarnation is obsolete.
         restarted,
-        /// Of a life that has ended, or older than what is known; ignored.
+        /// Of a previous incarnation, or older than the last update; ignored.
         outdated,
     };
-    change put(const upstream& entry, const update_stamp& when);
-    /// What came of a removal.
+    change put(const upstream& entry, const update_stamp& stamp);
+    /// The outcome of a removal.
     enum class removal
     {
         not_listed,
-        /// Older than what is known; ignored.
+        /// Older than the last update; ignored.
         outdated,
-        /// It gets nothing more.
+        /// The upstream gets no more requests.
         applied,
-        /// It may be back: it is kept until the grace is over.
+        /// The upstream may register again: it stays usable until the grace period is over.
         deferred,
     };
-    removal remove(const base::upstream_id& id, const update_stamp& when);
-    /// The whole listing: removes what it lacks. Returns what it removed.
+    removal remove(const base::upstream_id& id, const update_stamp& stamp);
+    /// Removes all entries that a complete listing lacks. Returns those removed at once; others may
+    /// be deferred.
     std::vector<base::upstream_id> remove_unlisted(const std::set<base::upstream_id>& listed,
-                                                   const update_stamp& when);
+                                                   const update_stamp& stamp);
 
     void record_store_lost(base::time_point now);
     void record_store_recovered(base::time_point now);
-    /// Another router has had the store all the while since this one lost it: it was this router
-    /// that was cut off, upstreams could refresh their entries, and what is missing is gone.
-    /// Returns what it dropped.
+    /// Ends the grace period and applies the deferred removals, which it returns. For the case that
+    /// a peer has reached the store throughout: then only this router was cut off, upstreams could
+    /// refresh their entries, and missing entries belong to upstreams that have left.
     std::vector<base::upstream_id> cancel_grace(base::time_point now);
-    /// When the store was lost last; nothing while no removal waits to be believed.
+    /// The start of the last outage if it is over and removals are still deferred because of it;
+    /// otherwise empty.
     std::optional<base::time_point> deferring_outage_start() const;
-    /// Drops what is still missing when the grace is over, and returns it.
+    /// Applies the deferred removals once the grace period is over, and returns them. Also evicts
+    /// records of leaving and removed upstreams whose retention has ended.
     std::vector<base::upstream_id> expire(base::time_point now);
-    /// A peer knows that it leaves: no new requests for a while, in which the own listing says so
-    /// too. Not for longer, as a peer may be wrong, or late.
-    void record_leaving(const leaving_upstream& what, base::time_point now);
-    /// Lives that left, or said that they do, in the last seconds; for peers.
+    /// A peer reports a leaving upstream, which gets no new requests for `leaving_retention`. By
+    /// then this router's own listing shows it too; a longer exclusion would be wrong if the peer's
+    /// report is mistaken or late.
+    void record_leaving(const leaving_upstream& entry, base::time_point now);
+    /// Incarnations seen draining or removed within `leaving_retention`, to report to peers.
     std::vector<leaving_upstream> leaving(base::time_point now) const;
-    /// It refused as another instance: whatever has been said of it so far, it is gone.
+    /// Removes an entry whose address turned out to belong to another instance: the upstream
+    /// refused a request on that ground. Updates received so far can't restore the entry.
     void discard(const base::upstream_id& id);
-    /// Its entry was written over by something that names no upstream. Whether that is the newest
-    /// statement.
-    bool discard(const base::upstream_id& id, const update_stamp& when);
+    /// Removes an entry whose row was overwritten with a value that can't be decoded. Returns false
+    /// if the update is outdated; the entry then stays.
+    bool discard(const base::upstream_id& id, const update_stamp& stamp);
 
-    /// Something was said of an availability zone; whether it changes what holds.
-    bool record_zone(const zone_update& what);
+    /// Returns whether the update changes which zones are drained.
+    bool record_zone(const zone_update& update);
     const drained_zones& zones() const
     {
         return zones_;
     }
-    /// The service has upstreams, and all of them are in drained zones.
+    /// Whether no upstream of the service is usable and some of its upstreams are in drained zones.
     bool all_drained(const base::service_id& service) const;
-    /// Which part of the upstreams that don't leave is outside of drained zones.
+    /// The fraction (0 to 1) of the upstreams not draining that are outside drained zones; 1 if
+    /// there are none.
     double undrained_fraction() const;
 
-    /// Upstreams of the service that take new requests, until the next change.
+    /// Upstreams of the service that take new requests. Valid until the directory's next change.
     const std::vector<const upstream*>& usable(const base::service_id& service) const;
     const upstream* find(const base::upstream_id& id) const;
     std::size_t size() const
     {
         return entries_.size();
     }
-    /// A hash of all entries, the same at each router that holds the same.
+    /// A hash of all entries, equal at routers that hold equal entries.
     std::uint64_t content_hash() const;
-    /// Entries that came, changed or went.
+    /// Entries that were added, changed or removed.
     const change_log& changes() const
     {
         return changes_;
     }
-    /// The revision of the last statement about it; 0: there was none.
+    /// The revision of the last update of the id, also of a removed entry; 0 if none is known.
     std::uint64_t revision_of(const base::upstream_id& id) const;
-    /// All entries, for the dump and for peers that can't reach the store.
+    /// All entries, for the state dump and for peers that can't reach the store.
     const std::map<base::upstream_id, upstream>& all() const
     {
         return entries_;
@@ -172,44 +180,46 @@
 
 private:
     bool in_grace(base::time_point now) const;
-    std::vector<base::upstream_id> drop_missing(base::time_point now);
-    void drop(const base::upstream_id& id, base::time_point now);
-    bool is_usable(const upstream& of) const;
+    std::vector<base::upstream_id> apply_deferred_removals(base::time_point now);
+    void remove_entry(const base::upstream_id& id, base::time_point now);
+    bool is_usable(const upstream& entry) const;
 
-    /// The last statement about an id, also after its entry has gone.
-    struct statement
+    /// The last update of an id. Kept as a tombstone after the entry's removal, until
+    /// `tombstone_retention` after its receipt.
+    struct entry_update
     {
         std::uint64_t revision = 0;
-        /// The latest start that was told.
+        /// The latest start of a process that was reported under the id.
         std::chrono::milliseconds process_start{};
         base::time_point received{};
     };
 
-    /// Takes note of a statement; whether it is the newest.
-    bool is_news(const base::upstream_id& id, const update_stamp& when);
+    /// Records the update and returns true if it is newer than the last one; else returns false.
+    bool accept_update(const base::upstream_id& id, const update_stamp& stamp);
 
     directory_options options_;
     std::map<base::upstream_id, upstream> entries_;
-    std::map<base::upstream_id, statement> last_;
-    using life_times =
+    std::map<base::upstream_id, entry_update> last_updates_;
+    using leaving_times =
         std::map<base::upstream_id, std::pair<std::chrono::milliseconds, base::time_point>>;
-    /// Which life leaves, and since when that is known: here, and from peers.
-    life_times leaving_;
-    life_times told_;
+    /// Leaving incarnations by process start, and when they were seen or reported: by this router's
+    /// own table, and by peers.
+    leaving_times leaving_;
+    leaving_times reported_leaving_;
     drained_zones zones_;
     change_log changes_;
-    /// As of which change the mark was worked out, and what it is.
-    mutable std::pair<std::uint64_t, std::uint64_t> mark_{};
-    /// By service, as asked for since the last change: each request asks.
-    mutable std::map<base::service_id, std::vector<const upstream*>> usable_;
-    /// Listed no more, but not yet believed.
-    std::map<base::upstream_id, bool> missing_;
-    bool lost_ = false;
-    base::time_point lost_since_{};
+    /// The position in `changes_` for which the content hash was computed, and the hash.
+    mutable std::pair<std::uint64_t, std::uint64_t> cached_hash_{};
+    /// Cached results of usable() since the last change: it is called for each request.
+    mutable std::map<base::service_id, std::vector<const upstream*>> usable_cache_;
+    /// Entries no longer listed whose removal is deferred.
+    std::map<base::upstream_id, bool> deferred_removals_;
+    bool store_lost_ = false;
+    base::time_point store_lost_since_{};
     base::time_point grace_until_{};
 };
 
 /// For log lines.
-std::string_view name(upstream_directory::removal of);
+std::string_view name(upstream_directory::removal outcome);
 
 }  // namespace caraway::routing
