--- a/src/libcaraway/routing/table_relay.cpp
+++ b/src/libcaraway/routing/table_relay.cpp
@@ -11,13 +11,13 @@
 namespace
 {
 
-/// Orders routers of a zone: those that reach the store, then larger VMs, then by a hash that all
-/// agree on.
-using place_in_line = std::tuple<bool, double, std::uint64_t, base::node_id>;
+/// The order in which a zone's routers are chosen to poll the store: first those that can reach it,
+/// then larger VMs, then by a hash of the id, which is equal at all routers.
+using poller_order = std::tuple<bool, double, std::uint64_t, base::node_id>;
 
-place_in_line place_of(const base::node_id& id, bool bad, double capacity)
+poller_order poller_order_of(const base::node_id& id, bool is_deprioritized, double capacity)
 {
-    return {bad, -capacity, scheduling::stable_hash(id.str()), id};
+    return {is_deprioritized, -capacity, scheduling::stable_hash(id.str()), id};
 }
 
 }  // namespace
@@ -32,85 +32,87 @@
     options_.leaving_notice = notice;
 }
 
-void table_relay::record_peer(const base::node_id& peer, double capacity, const table_state& of,
+void table_relay::record_peer(const base::node_id& peer, double capacity, const table_state& state,
                               base::time_point now)
 {
-    const auto [place, added] = mates_.try_emplace(peer);
-    auto& known = place->second;
-    const bool answered = added || of.answer_count != known.state.answer_count;
+    const auto [position, inserted] = peers_.try_emplace(peer);
+    auto& known = position->second;
+    const bool has_new_answer = inserted || state.answer_count != known.state.answer_count;
     known.capacity = capacity;
-    known.state = of;
+    known.state = state;
     known.last_digest = now;
-    if (answered)
+    if (has_new_answer)
     {
-        known.answered = now;
+        known.last_answer = now;
     }
-    const bool confirms = is_source(known, now) && answered &&
-                          of.content_hash == copied_.content_hash &&
-                          of.revision >= copied_.revision;
-    if (confirms)
+    const bool confirms_copy = is_source(known, now) && has_new_answer &&
+                               state.content_hash == copy_.content_hash &&
+                               state.revision >= copy_.revision;
+    if (confirms_copy)
     {
-        copied_.revision = of.revision;
-        confirmed_ = now;
+        copy_.revision = state.revision;
+        last_confirmed_ = now;
     }
 }
 
-void table_relay::set_own_state(double capacity, const table_state& of, bool has_read,
+void table_relay::set_own_state(double capacity, const table_state& state, bool has_read,
                                 base::time_point now)
 {
     capacity_ = capacity;
     has_read_ = has_read;
-    if (!of.polls_store)
+    if (!state.polls_store)
     {
         return;
     }
-    if (of.answer_count != copied_.answer_count)
+    if (state.answer_count != copy_.answer_count)
     {
-        confirmed_ = now;
+        last_confirmed_ = now;
     }
-    copied_ = of;
-    copied_from_ = self_;
+    copy_ = state;
+    copy_source_ = self_;
 }
 
 void table_relay::record_store_unreachable(base::time_point now)
 {
-    lost_at_ = now;
+    last_store_failure_ = now;
 }
 
-void table_relay::record_copy(const base::node_id& from, const table_state& of,
+void table_relay::record_copy(const base::node_id& from, const table_state& state,
                               base::time_point now)
 {
-    copied_ = of;
-    copied_from_ = from;
-    confirmed_ = now;
+    copy_ = state;
+    copy_source_ = from;
+    last_confirmed_ = now;
 }
 
 void table_relay::wait_for_peers(base::time_point now)
 {
-    relies_since_ = now;
+    waiting_since_ = now;
 }
 
 void table_relay::stop_waiting_for_peers()
 {
-    relies_since_.reset();
+    waiting_since_.reset();
 }
 
-/// Until it has the tables and hears enough of its zone to know its place in line.
-bool table_relay::relies_on_others(base::time_point now) const
+/// True at a start until this router has the tables and knows enough peers of its zone to rank
+/// itself, or until the time limits for that are over.
+bool table_relay::is_waiting_for_peers(base::time_point now) const
 {
-    if (!relies_since_ || (has_read_ && is_shared(now)))
+    if (!waiting_since_ || (has_read_ && is_shared(now)))
     {
         return false;
     }
-    const auto since = now - *relies_since_;
-    const bool confirmed = now - confirmed_ <= part_of_notice(options_.unconfirmed_fraction);
-    return has_read_ ? confirmed && since < options_.settling_period
-                     : since < options_.initial_copy_timeout;
+    const auto waited = now - *waiting_since_;
+    const bool is_confirmed =
+        now - last_confirmed_ <= fraction_of_notice(options_.unconfirmed_fraction);
+    return has_read_ ? is_confirmed && waited < options_.settling_period
+                     : waited < options_.initial_copy_timeout;
 }
 
 bool table_relay::should_poll_store(base::time_point now) const
 {
-    if (relies_on_others(now))
+    if (is_waiting_for_peers(now))
     {
         return false;
     }
@@ -118,26 +120,26 @@
     {
         return true;
     }
-    return now - confirmed_ > part_of_notice(options_.unconfirmed_fraction);
+    return now - last_confirmed_ > fraction_of_notice(options_.unconfirmed_fraction);
 }
 
 bool table_relay::is_shared(base::time_point now) const
 {
-    return mates_heard(now) + 1 >= options_.min_shared_routers;
+    return reachable_peer_count(now) + 1 >= options_.min_shared_routers;
 }
 
 std::optional<base::node_id> table_relay::source(base::time_point now) const
 {
     std::optional<base::node_id> best;
-    std::uint64_t newest = copied_.revision;
-    for (const auto& [id, each] : mates_)
+    std::uint64_t newest = copy_.revision;
+    for (const auto& [id, peer] : peers_)
     {
-        // At the same revision two may differ in what they still hold around an outage; a router
-        // keeps to the one it copied, or it would go back and forth between them.
-        const auto& state = each.state;
-        const bool newer = state.revision > newest ||
-                           (id == copied_from_ && state.revision == copied_.revision && !best);
-        if (is_source(each, now) && state.content_hash != copied_.content_hash && newer)
+        // Around an outage, two pollers at the same revision may hold different entries. A router
+        // stays with the one that it copied, or it would alternate between them.
+        const auto& state = peer.state;
+        const bool is_preferred = state.revision > newest ||
+                                  (id == copy_source_ && state.revision == copy_.revision && !best);
+        if (is_source(peer, now) && state.content_hash != copy_.content_hash && is_preferred)
         {
             newest = state.revision;
             best = id;
@@ -148,43 +150,45 @@
 
 bool table_relay::is_store_unreachable(base::time_point now) const
 {
-    return lost_at_ && *lost_at_ + options_.avoid_period > now;
+    return last_store_failure_ && *last_store_failure_ + options_.avoid_period > now;
 }
 
-bool table_relay::is_stale(const mate& of, base::time_point now) const
+bool table_relay::is_stale(const peer_state& peer, base::time_point now) const
 {
-    return of.state.polls_store && now - of.answered > part_of_notice(options_.stale_fraction);
+    return peer.state.polls_store &&
+           now - peer.last_answer > fraction_of_notice(options_.stale_fraction);
 }
 
-bool table_relay::is_source(const mate& of, base::time_point now) const
+bool table_relay::is_source(const peer_state& peer, base::time_point now) const
 {
-    return of.state.polls_store && !of.state.store_unreachable && !is_stale(of, now);
+    return peer.state.polls_store && !peer.state.store_unreachable && !is_stale(peer, now);
 }
 
 std::size_t table_relay::rank(base::time_point now) const
 {
-    const auto own = place_of(self_, is_store_unreachable(now), capacity_);
-    std::size_t before = 0;
-    for (const auto& [id, each] : mates_)
+    const auto own = poller_order_of(self_, is_store_unreachable(now), capacity_);
+    std::size_t preceding = 0;
+    for (const auto& [id, peer] : peers_)
     {
-        const bool silent = now - each.last_digest > part_of_notice(options_.stale_fraction);
-        const bool bad = each.state.store_unreachable || is_stale(each, now);
-        before += !silent && place_of(id, bad, each.capacity) < own ? 1 : 0;
+        const bool is_silent = now - peer.last_digest > fraction_of_notice(options_.stale_fraction);
+        const bool is_deprioritized = peer.state.store_unreachable || is_stale(peer, now);
+        preceding +=
+            !is_silent && poller_order_of(id, is_deprioritized, peer.capacity) < own ? 1 : 0;
     }
-    return before;
+    return preceding;
 }
 
-std::size_t table_relay::mates_heard(base::time_point now) const
+std::size_t table_relay::reachable_peer_count(base::time_point now) const
 {
     return static_cast<std::size_t>(std::count_if(
-        mates_.begin(), mates_.end(),
-        [&](const auto& each)
-        { return now - each.second.last_digest <= part_of_notice(options_.stale_fraction); }));
+        peers_.begin(), peers_.end(),
+        [&](const auto& peer)
+        { return now - peer.second.last_digest <= fraction_of_notice(options_.stale_fraction); }));
 }
 
-base::duration table_relay::part_of_notice(double part) const
+base::duration table_relay::fraction_of_notice(double fraction) const
 {
-    return std::chrono::duration_cast<base::duration>(options_.leaving_notice * part);
+    return std::chrono::duration_cast<base::duration>(options_.leaving_notice * fraction);
 }
 
 }  // namespace caraway::routing
--- a/src/libcaraway/routing/table_relay.hpp
+++ b/src/libcaraway/routing/table_relay.hpp
@@ -13,111 +13,114 @@
 
 struct relay_options
 {
-    /// Routers of a zone that ask the store; the rest hear from them. Two, so that one may die or
-    /// be cut off without a pause.
+    /// The number of a zone's routers that poll the store; the others copy from them. With two, one
+    /// may fail or be cut off without interrupting updates.
     std::size_t pollers = 2;
-    /// In a smaller zone each asks by itself: there is little to save.
+    /// In a zone with fewer routers each polls the store: sharing would save little.
     std::size_t min_shared_routers = 5;
-    /// How long an upstream that leaves goes on serving: within it each router has to know.
+    /// How long a leaving upstream still serves. Each router must know of it within this time.
     std::chrono::milliseconds leaving_notice{2000};
-    /// A follower that has told of no new answer for this part of the notice is taken for cut off,
-    /// frozen or dead, and the next in line asks. The store holds a call that waits for changes for
-    /// half of that time.
+    /// A poller that has reported no new answer for this fraction of the notice is considered cut
+    /// off, frozen or dead, and the next router in the order polls. The store holds a long-polling
+    /// call for half of that time.
     double stale_fraction = 0.6;
-    /// A router whose own copy nobody has confirmed for this part asks the store itself, whatever
-    /// others do: the rest of the notice is for the call.
+    /// A router whose copy has not been confirmed for this fraction of the notice polls the store
+    /// regardless of its rank; the rest of the notice is for the call.
     double unconfirmed_fraction = 0.8;
-    /// One that couldn't reach the store is the last to be asked again for so long.
+    /// How long a router that couldn't reach the store is ordered behind the others.
     std::chrono::milliseconds avoid_period{5000};
-    /// How long a router that starts waits for a copy of those that its settings name before it
-    /// asks the store.
+    /// How long a starting router waits for a copy from the seed routers in its settings before it
+    /// polls the store.
     std::chrono::milliseconds initial_copy_timeout{1000};
-    /// How long it goes by such a copy, as long as that is confirmed, before it hears enough of its
-    /// zone to know who asks: routers that start find each other within some pulls of a copy.
+    /// How long a starting router relies on such a copy, while it stays confirmed, until it knows
+    /// enough peers of its zone to tell which of them poll. Starting routers discover each other
+    /// within a few copies.
     std::chrono::milliseconds settling_period{4000};
 };
 
-/// What a router says of its copy of the platform's tables, in its digests.
+/// The state of a router's copy of the platform's tables, as reported in its digests.
 struct table_state
 {
-    /// It asks the store itself.
+    /// The router polls the store itself.
     bool polls_store = false;
-    /// It tried and couldn't reach it.
+    /// The router's recent calls to the store failed.
     bool store_unreachable = false;
-    /// Answers of the store so far: while they are counted on, the copy is current.
+    /// The number of answers received from the store. The copy is current while this grows.
     std::uint64_t answer_count = 0;
     /// The store's revision up to which the copy is current.
     std::uint64_t revision = 0;
-    /// A hash of what the copy says of upstreams: equal copies have equal marks.
+    /// A hash of the copy's upstreams: equal copies have equal hashes.
     std::uint64_t content_hash = 0;
 
     friend bool operator==(const table_state&, const table_state&) = default;
 };
 
-/// Decides who of a zone's routers asks the platform's store, so that a fleet of hundreds costs it
-/// a few calls a second. Nobody is elected and nothing is agreed: each router orders those of its
-/// zone that it hears in the same way, and asks if it is among the first. Two that hear different
-/// ones ask both, which does no harm.
+/// Decides which of a zone's routers poll the platform's store, so that a fleet of hundreds causes
+/// only a few calls per second. There is no election and no consensus: each router sorts the
+/// routers of its zone that it receives digests from by the same order, and polls if it is among
+/// the first. If two routers see different peers, both may poll, which is harmless.
 class table_relay
 {
 public:
     explicit table_relay(base::node_id self, relay_options options = {});
 
     void set_leaving_notice(std::chrono::milliseconds notice);
-    /// It starts, and others may have the tables already. All routers of a fleet start at one
-    /// moment, know nobody, and each would read all tables from the store.
+    /// Called at a start when peers may have the tables already. Otherwise, when all routers of a
+    /// fleet start at once and know no peers, each would read all tables from the store.
     void wait_for_peers(base::time_point now);
-    /// None of those others answers.
+    /// Called when none of the seed routers answers.
     void stop_waiting_for_peers();
-    /// A router of the same zone told of its copy.
-    void record_peer(const base::node_id& peer, double capacity, const table_state& of,
+    /// Takes the state of its copy from the digest of a router in the same zone.
+    void record_peer(const base::node_id& peer, double capacity, const table_state& state,
                      base::time_point now);
-    /// This router's copy, and that it has read one at all.
-    void set_own_state(double capacity, const table_state& of, bool has_read, base::time_point now);
-    /// It couldn't reach the store.
+    /// The state of this router's own copy. `has_read` is true once the router has all tables.
+    void set_own_state(double capacity, const table_state& state, bool has_read,
+                       base::time_point now);
+    /// This router's call to the store failed.
     void record_store_unreachable(base::time_point now);
-    /// It has taken over a peer's copy.
-    void record_copy(const base::node_id& from, const table_state& of, base::time_point now);
+    /// This router has replaced its copy by that of a peer.
+    void record_copy(const base::node_id& from, const table_state& state, base::time_point now);
 
-    /// Whether it asks the store itself now.
+    /// Whether this router should poll the store now.
     bool should_poll_store(base::time_point now) const;
-    /// Whether few routers of the zone ask for all.
+    /// Whether the zone is large enough that only a few of its routers poll the store for all.
     bool is_shared(base::time_point now) const;
-    /// A peer whose copy is newer and says something else.
+    /// The peer to copy from: one that polls the store and whose copy is newer and has other
+    /// content. Empty if there is none.
     std::optional<base::node_id> source(base::time_point now) const;
-    /// Whether it tried and couldn't reach the store lately.
+    /// Whether a call of this router to the store has failed within `avoid_period`.
     bool is_store_unreachable(base::time_point now) const;
 
 private:
-    struct mate
+    struct peer_state
     {
         double capacity = 1;
         table_state state;
         base::time_point last_digest{};
-        /// When it told of a new answer last.
-        base::time_point answered{};
+        /// When the peer last reported a new answer of the store.
+        base::time_point last_answer{};
     };
 
-    bool is_stale(const mate& of, base::time_point now) const;
-    bool is_source(const mate& of, base::time_point now) const;
+    bool is_stale(const peer_state& peer, base::time_point now) const;
+    bool is_source(const peer_state& peer, base::time_point now) const;
     std::size_t rank(base::time_point now) const;
-    std::size_t mates_heard(base::time_point now) const;
-    base::duration part_of_notice(double part) const;
-    bool relies_on_others(base::time_point now) const;
+    std::size_t reachable_peer_count(base::time_point now) const;
+    base::duration fraction_of_notice(double fraction) const;
+    bool is_waiting_for_peers(base::time_point now) const;
 
     base::node_id self_;
     relay_options options_;
-    std::map<base::node_id, mate> mates_;
+    std::map<base::node_id, peer_state> peers_;
     double capacity_ = 1;
     bool has_read_ = false;
-    /// What this router's copy is a copy of, and whose.
-    table_state copied_;
-    base::node_id copied_from_;
-    /// When somebody, or the store itself, last confirmed it.
-    base::time_point confirmed_{};
-    std::optional<base::time_point> lost_at_;
-    /// When it began to wait for others.
-    std::optional<base::time_point> relies_since_;
+    /// The state of the copy that this router holds, and the router it came from.
+    table_state copy_;
+    base::node_id copy_source_;
+    /// When a poller or the store last confirmed that the copy is current.
+    base::time_point last_confirmed_{};
+    std::optional<base::time_point> last_store_failure_;
+    /// When this router began to wait for peers.
+    std::optional<base::time_point> waiting_since_;
 };
 
 }  // namespace caraway::routing
