--- a/src/libcaraway/router/daemon.cpp
+++ b/src/libcaraway/router/daemon.cpp
@@ -184,7 +184,7 @@
         account_second(now);
         next_rate_ = now + rate_period;
     }
-    expire_deferred_removals(now);
+    drop_expired_upstreams(now);
     update_warmups(now);
     core_.expire_waiting();
     core_.pump();
--- a/src/libcaraway/router/daemon.hpp
+++ b/src/libcaraway/router/daemon.hpp
@@ -107,7 +107,7 @@
     void record_warmup(const routing::upstream& entry, bool appeared);
     void update_warmups(base::time_point now);
     /// Drops upstreams whose removal waited until nothing could bring them back.
-    void expire_deferred_removals(base::time_point now);
+    void drop_expired_upstreams(base::time_point now);
     /// An entry that doesn't tell of an upstream that may be used.
     void discard_unreadable(const row& from, const base::error& why);
     void take_routers(const std::vector<row>& rows);
--- a/src/libcaraway/router/daemon_upstreams.cpp
+++ b/src/libcaraway/router/daemon_upstreams.cpp
@@ -97,7 +97,7 @@
         {{"upstream", id.str()}, {"from", from}, {"revision", revision}, {"outcome", outcome}});
 }
 
-void daemon::expire_deferred_removals(base::time_point now)
+void daemon::drop_expired_upstreams(base::time_point now)
 {
     const auto log_dropped = [&](const auto& dropped, std::string_view outcome)
     {
