--- a/tests/routing/test_change_log.cpp
+++ b/tests/routing/test_change_log.cpp
@@ -11,21 +11,21 @@
 namespace
 {
 
-std::string text(const std::optional<std::vector<base::upstream_id>>& of)
+std::string to_text(const std::optional<std::vector<base::upstream_id>>& ids)
 {
-    std::string out = of ? "" : "unknown";
-    for (const auto& each : of.value_or(std::vector<base::upstream_id>()))
+    std::string result = ids ? "" : "unknown";
+    for (const auto& id : ids.value_or(std::vector<base::upstream_id>()))
     {
-        out += each.str() + " ";
+        result += id.str() + " ";
     }
-    return out;
+    return result;
 }
 
 }  // namespace
 
 BOOST_AUTO_TEST_SUITE(change_logs)
 
-BOOST_AUTO_TEST_CASE(each_entry_that_changed_since_is_told_once)
+BOOST_AUTO_TEST_CASE(each_changed_entry_is_listed_once)
 {
     change_log log;
     log.record(base::upstream_id("a"));
@@ -34,23 +34,23 @@
     log.record(base::upstream_id("c"));
     log.record(base::upstream_id("b"));
 
-    BOOST_TEST(text(log.since(position)) == "b c ");
-    BOOST_TEST(text(log.since(log.position())) == "");
+    BOOST_TEST(to_text(log.since(position)) == "b c ");
+    BOOST_TEST(to_text(log.since(log.position())) == "");
 }
 
-BOOST_AUTO_TEST_CASE(what_is_forgotten_or_yet_to_come_is_unknown)
+BOOST_AUTO_TEST_CASE(evicted_and_future_positions_are_unknown)
 {
     change_log log(2);
-    for (const auto* each : {"a", "b", "c"})
+    for (const auto* id : {"a", "b", "c"})
     {
-        log.record(base::upstream_id(each));
+        log.record(base::upstream_id(id));
     }
-    BOOST_TEST(text(log.since(0)) == "unknown");
-    BOOST_TEST(text(log.since(1)) == "b c ");
-    BOOST_TEST(text(log.since(4)) == "unknown");
+    BOOST_TEST(to_text(log.since(0)) == "unknown");
+    BOOST_TEST(to_text(log.since(1)) == "b c ");
+    BOOST_TEST(to_text(log.since(4)) == "unknown");
 }
 
-BOOST_AUTO_TEST_CASE(a_directory_notes_what_comes_changes_and_goes)
+BOOST_AUTO_TEST_CASE(a_directory_records_added_changed_and_removed_entries)
 {
     routing::upstream_directory directory;
     const base::upstream_id id("a");
@@ -60,15 +60,15 @@
                       {.revision = revision, .received = base::time_point(1h)});
         return directory.changes().position();
     };
-    const auto came = put(5, false);
-    const auto mark = directory.content_hash();
+    const auto added = put(5, false);
+    const auto hash = directory.content_hash();
     const auto outdated = put(4, true);
-    BOOST_TEST(came == outdated);
-    BOOST_TEST(directory.content_hash() == mark);
+    BOOST_TEST(added == outdated);
+    BOOST_TEST(directory.content_hash() == hash);
 
     const auto changed = put(6, true);
-    BOOST_TEST(changed > came);
-    BOOST_TEST(directory.content_hash() != mark);
+    BOOST_TEST(changed > added);
+    BOOST_TEST(directory.content_hash() != hash);
     directory.remove(id, {.revision = 7, .received = base::time_point(1h)});
     BOOST_TEST(directory.changes().position() > changed);
     BOOST_TEST(directory.revision_of(id) == 7U);
--- a/tests/routing/test_drained_zones.cpp
+++ b/tests/routing/test_drained_zones.cpp
@@ -20,7 +20,7 @@
     return {.zone = zone, .drained = true, .revision = revision};
 }
 
-zone_update taken_back(const base::zone_id& zone, std::uint64_t revision)
+zone_update restored(const base::zone_id& zone, std::uint64_t revision)
 {
     return {.zone = zone, .drained = false, .revision = revision};
 }
@@ -45,9 +45,9 @@
     std::string usable() const
     {
         std::string ids;
-        for (const auto* each : directory.usable(engines))
+        for (const auto* upstream : directory.usable(engines))
         {
-            ids += each->id.str() + " ";
+            ids += upstream->id.str() + " ";
         }
         return ids;
     }
@@ -55,19 +55,19 @@
 
 }  // namespace
 
-BOOST_FIXTURE_TEST_SUITE(zones_that_are_drained, fixture)
+BOOST_FIXTURE_TEST_SUITE(drained_availability_zones, fixture)
 
-BOOST_AUTO_TEST_CASE(upstreams_of_a_drained_zone_get_nothing_new)
+BOOST_AUTO_TEST_CASE(upstreams_of_a_drained_zone_get_no_new_requests)
 {
     BOOST_TEST(directory.record_zone(drained(east, 10)));
     BOOST_TEST(usable() == "w1 ");
     BOOST_TEST(!directory.all_drained(engines));
 
-    BOOST_TEST(directory.record_zone(taken_back(east, 11)));
+    BOOST_TEST(directory.record_zone(restored(east, 11)));
     BOOST_TEST(usable() == "e1 e2 w1 ");
 }
 
-BOOST_AUTO_TEST_CASE(an_upstream_that_appears_in_a_drained_zone_gets_nothing)
+BOOST_AUTO_TEST_CASE(a_new_upstream_in_a_drained_zone_gets_no_requests)
 {
     directory.record_zone(drained(east, 10));
     add("e3", east);
@@ -83,53 +83,54 @@
     BOOST_TEST(!directory.all_drained(base::service_id("none")));
 }
 
-// Guards against a peer's older word that takes a zone back.
-BOOST_AUTO_TEST_CASE(the_statement_of_the_latest_revision_counts)
+// Guards against a peer's stale update that restores a drained zone.
+BOOST_AUTO_TEST_CASE(the_update_of_the_latest_revision_wins)
 {
     directory.record_zone(drained(east, 10));
-    BOOST_TEST(!directory.record_zone(taken_back(east, 9)));
-    BOOST_TEST(!directory.record_zone(taken_back(east, 10)));
+    BOOST_TEST(!directory.record_zone(restored(east, 9)));
+    BOOST_TEST(!directory.record_zone(restored(east, 10)));
     BOOST_TEST(usable() == "w1 ");
 
-    directory.record_zone(taken_back(east, 12));
+    directory.record_zone(restored(east, 12));
     BOOST_TEST(!directory.record_zone(drained(east, 11)));
     BOOST_TEST(usable() == "e1 e2 w1 ");
 }
 
-BOOST_AUTO_TEST_CASE(a_word_that_changes_nothing_is_no_news_but_counts)
+BOOST_AUTO_TEST_CASE(an_update_without_change_still_raises_the_revision)
 {
     directory.record_zone(drained(east, 10));
     BOOST_TEST(!directory.record_zone(drained(east, 14)));
-    BOOST_TEST(!directory.record_zone(taken_back(east, 12)));
+    BOOST_TEST(!directory.record_zone(restored(east, 12)));
     BOOST_TEST(usable() == "w1 ");
 }
 
-// Guards against a zone that stays drained, as its row went while nobody could follow the store.
-BOOST_AUTO_TEST_CASE(a_listing_takes_back_what_it_lacks)
+// Guards against a zone that stays drained because its row was removed while no router could poll
+// the store.
+BOOST_AUTO_TEST_CASE(a_listing_restores_the_zones_that_it_lacks)
 {
     drained_zones zones;
     zones.record(drained(east, 10));
     zones.record(drained(west, 11));
 
-    const auto gone = zones.unlisted_updates({west}, 20);
-    BOOST_TEST((gone == std::vector<zone_update>{taken_back(east, 20)}));
-    BOOST_TEST(zones.record(gone.front()));
+    const auto updates = zones.unlisted_updates({west}, 20);
+    BOOST_TEST((updates == std::vector<zone_update>{restored(east, 20)}));
+    BOOST_TEST(zones.record(updates.front()));
     BOOST_TEST(!zones.contains(east));
     BOOST_TEST(zones.contains(west));
 }
 
-BOOST_AUTO_TEST_CASE(an_old_listing_takes_nothing_back)
+BOOST_AUTO_TEST_CASE(a_stale_listing_restores_no_zone)
 {
     drained_zones zones;
     zones.record(drained(east, 10));
-    for (const auto& each : zones.unlisted_updates({}, 8))
+    for (const auto& update : zones.unlisted_updates({}, 8))
     {
-        BOOST_TEST(!zones.record(each));
+        BOOST_TEST(!zones.record(update));
     }
     BOOST_TEST(zones.contains(east));
 }
 
-BOOST_AUTO_TEST_CASE(the_part_in_use_is_of_upstreams_that_stay)
+BOOST_AUTO_TEST_CASE(the_undrained_fraction_excludes_draining_upstreams)
 {
     directory.put(
         {.id = base::upstream_id("e2"), .service = engines, .zone = east, .draining = true},
--- a/tests/routing/test_row_follower.cpp
+++ b/tests/routing/test_row_follower.cpp
@@ -15,7 +15,7 @@
 
 BOOST_AUTO_TEST_SUITE(row_followers)
 
-BOOST_AUTO_TEST_CASE(it_reads_all_then_follows)
+BOOST_AUTO_TEST_CASE(the_table_is_read_whole_before_changes_are_followed)
 {
     row_follower follower;
     BOOST_TEST((follower.next(now).kind == row_follower::call_kind::read_all));
@@ -26,10 +26,10 @@
     BOOST_TEST(follower.next(now).after == 7);
 }
 
-// Symptom: a router went on sending requests to an upstream that had said it was leaving.
-// Sequence: the store dropped its history; the upstream's change stood in the part that was
-// dropped. Cause: following went on from the newest revision.
-BOOST_AUTO_TEST_CASE(with_its_history_gone_the_table_is_read_whole_again)
+// Guards against requests to a leaving upstream whose change was in the part of the history that
+// the store discarded: a follower that continues from the newest revision would never see the
+// change.
+BOOST_AUTO_TEST_CASE(the_table_is_read_whole_again_when_its_history_is_gone)
 {
     row_follower follower;
     follower.record_answer(7, now);
@@ -39,7 +39,7 @@
     BOOST_TEST((follower.next(now).kind == row_follower::call_kind::read_all));
 }
 
-BOOST_AUTO_TEST_CASE(failures_are_spaced_and_the_space_is_bounded)
+BOOST_AUTO_TEST_CASE(the_backoff_after_failures_is_bounded)
 {
     row_follower follower({.initial_backoff = 100ms, .max_backoff = 400ms});
     follower.record_answer(7, now);
@@ -56,10 +56,9 @@
     BOOST_TEST(!follower.lost());
 }
 
-// Symptom: a router that had been cut off learnt of a leaving upstream 1.8 s after the cut had
-// healed. Sequence: the call that was under way when the cut healed was one that the store holds
-// for 1.5 s.
-BOOST_AUTO_TEST_CASE(while_the_store_is_lost_calls_are_not_held)
+// Guards against a router that learns of a leaving upstream only 1.8 s after it can reach the store
+// again: the call in flight at that moment must not be one that the store holds for 1.5 s.
+BOOST_AUTO_TEST_CASE(calls_are_not_held_while_the_store_is_unreachable)
 {
     row_follower follower({.hold = 1500ms});
     follower.record_answer(7, now);
@@ -70,7 +69,7 @@
     BOOST_TEST((follower.next(now).hold == 0ms));
 }
 
-BOOST_AUTO_TEST_CASE(a_table_that_changes_all_the_time_is_asked_for_at_bounded_intervals)
+BOOST_AUTO_TEST_CASE(a_constantly_changing_table_is_polled_at_a_bounded_rate)
 {
     row_follower follower({.gap = 350ms});
     follower.record_answer(7, now);
@@ -78,8 +77,8 @@
     BOOST_TEST((follower.next(now).not_before == now + 350ms));
 }
 
-// Symptom: after a reply that was overtaken, changes were asked for from an older revision.
-BOOST_AUTO_TEST_CASE(the_revision_never_goes_back)
+// Guards against requesting changes from an older revision after a reply that was overtaken.
+BOOST_AUTO_TEST_CASE(the_revision_never_decreases)
 {
     row_follower follower;
     follower.record_answer(9, now);
--- a/tests/routing/test_table_relay.cpp
+++ b/tests/routing/test_table_relay.cpp
@@ -15,8 +15,8 @@
 const base::time_point start(1h);
 constexpr std::uint64_t content_hash = 77;
 
-/// A zone of ten routers of one size, each with its own view of the others. Time goes on in steps
-/// of a digest; followers get an answer of the store in each.
+/// A zone of ten routers of equal capacity, each with its own view of the others. Time advances by
+/// one digest period per step, in which pollers get an answer from the store.
 struct zone
 {
     static constexpr int size = 10;
@@ -43,8 +43,8 @@
         {
             auto& state = states[number];
             state.store_unreachable = relays[number].is_store_unreachable(now);
-            state.answer_count += state.polls_store && !cut[number] ? 1 : 0;
-            if (state.polls_store && cut[number])
+            state.answer_count += state.polls_store && !cut_off[number] ? 1 : 0;
+            if (state.polls_store && cut_off[number])
             {
                 relays[number].record_store_unreachable(now);
             }
@@ -54,7 +54,7 @@
         {
             for (int to = 0; to < size; ++to)
             {
-                if (from != to && !silent[from] && !silent[to])
+                if (from != to && !is_silent[from] && !is_silent[to])
                 {
                     relays[to].record_peer(id(from), 1, states[from], now);
                 }
@@ -66,9 +66,9 @@
         }
     }
 
-    void run(base::duration span)
+    void run(base::duration duration)
     {
-        for (const auto until = now + span; now < until;)
+        for (const auto end = now + duration; now < end;)
         {
             step();
         }
@@ -76,93 +76,92 @@
 
     std::vector<int> pollers() const
     {
-        std::vector<int> out;
+        std::vector<int> result;
         for (int number = 0; number < size; ++number)
         {
-            if (states[number].polls_store && !cut[number] && !silent[number])
+            if (states[number].polls_store && !cut_off[number] && !is_silent[number])
             {
-                out.push_back(number);
+                result.push_back(number);
             }
         }
-        return out;
+        return result;
     }
 
     base::time_point now = start;
     std::vector<table_relay> relays;
     std::vector<table_state> states;
-    /// Can't reach the store.
-    std::array<bool, size> cut{};
-    /// Dead or frozen.
-    std::array<bool, size> silent{};
+    /// Routers that can't reach the store.
+    std::array<bool, size> cut_off{};
+    /// Dead or frozen routers.
+    std::array<bool, size> is_silent{};
 };
 
 }  // namespace
 
 BOOST_FIXTURE_TEST_SUITE(table_relays, zone)
 
-BOOST_AUTO_TEST_CASE(two_routers_of_a_zone_ask_the_store_and_stay_the_same)
+BOOST_AUTO_TEST_CASE(the_same_two_routers_of_a_zone_keep_polling_the_store)
 {
     run(1s);
-    const auto chosen = pollers();
+    const auto initial_pollers = pollers();
     run(20s);
 
-    BOOST_TEST(chosen.size() == 2);
-    BOOST_TEST(pollers() == chosen, boost::test_tools::per_element());
+    BOOST_TEST(initial_pollers.size() == 2);
+    BOOST_TEST(pollers() == initial_pollers, boost::test_tools::per_element());
 }
 
-// Symptom: routers sent requests to an upstream that had left.
-// Sequence: both routers that asked the store for their zone died at one moment, or were cut off
-// from it, while an upstream said that it leaves.
-// Cause: those that rely on others don't notice by themselves.
-BOOST_AUTO_TEST_CASE(others_ask_within_the_notice_when_both_that_asked_are_gone)
+// Guards against requests to an upstream that has left: both pollers of a zone may die or be cut
+// off from the store at once, just when an upstream announces that it leaves, and the routers that
+// copy from them can't see that themselves.
+BOOST_AUTO_TEST_CASE(others_poll_within_the_notice_when_both_pollers_fail)
 {
     run(1s);
     for (const auto number : pollers())
     {
-        silent[number] = true;
+        is_silent[number] = true;
     }
     run(2400ms);
 
     BOOST_TEST(pollers().size() >= 2);
 }
 
-BOOST_AUTO_TEST_CASE(others_ask_within_the_notice_when_both_that_asked_are_cut_off_from_the_store)
+BOOST_AUTO_TEST_CASE(others_poll_within_the_notice_when_both_pollers_lose_the_store)
 {
     run(1s);
     for (const auto number : pollers())
     {
-        cut[number] = true;
+        cut_off[number] = true;
     }
     run(2400ms);
 
     BOOST_TEST(pollers().size() >= 2);
 }
 
-// Symptom: as above, with the next in line cut off too.
-BOOST_AUTO_TEST_CASE(a_router_that_nobody_confirms_asks_by_itself)
+// As above, but the next routers in the order are cut off too.
+BOOST_AUTO_TEST_CASE(a_router_whose_copy_is_unconfirmed_polls)
 {
     run(1s);
     for (int number = 0; number < size - 1; ++number)
     {
-        cut[number] = true;
+        cut_off[number] = true;
     }
     run(3s);
 
     BOOST_TEST(states[size - 1].polls_store);
 }
 
-BOOST_AUTO_TEST_CASE(a_router_that_hears_nobody_asks_by_itself)
+BOOST_AUTO_TEST_CASE(a_router_that_receives_no_digests_polls)
 {
     run(1s);
-    silent.fill(true);
+    is_silent.fill(true);
     run(2s);
 
     BOOST_TEST(states[0].polls_store);
     BOOST_TEST(states[size - 1].polls_store);
 }
 
-// Symptom: all routers of a fleet that started at one moment read all tables from the store.
-BOOST_AUTO_TEST_CASE(a_router_that_starts_waits_for_a_copy_and_then_asks)
+// Guards against all routers of a fleet reading all tables from the store when they start at once.
+BOOST_AUTO_TEST_CASE(a_starting_router_waits_for_a_copy_before_it_polls)
 {
     table_relay relay(id(0), {.leaving_notice = 3000ms});
     relay.wait_for_peers(start);
@@ -174,8 +173,8 @@
     BOOST_TEST(relay.should_poll_store(start));
 }
 
-// Symptom: the same, a second later: each had a copy, and knew nobody of its zone yet.
-BOOST_AUTO_TEST_CASE(a_router_that_starts_goes_by_a_confirmed_copy_until_it_hears_its_zone)
+// As above, a second later: each router has a copy, but knows no peers of its zone yet.
+BOOST_AUTO_TEST_CASE(a_starting_router_relies_on_a_confirmed_copy_until_it_knows_its_zone)
 {
     table_relay relay(id(0), {.leaving_notice = 3000ms});
     relay.wait_for_peers(start);
@@ -184,7 +183,7 @@
     relay.record_copy(id(1), copied, start + 500ms);
     relay.set_own_state(1, {.revision = 5, .content_hash = content_hash}, true, start + 500ms);
     BOOST_TEST(!relay.should_poll_store(start + 2s));
-    // As for any copy that nobody confirms any more, in time for an upstream that leaves.
+    // An unconfirmed copy makes the router poll, in time for an upstream that leaves.
     BOOST_TEST(relay.should_poll_store(start + 3s));
 
     auto confirming = copied;
@@ -194,11 +193,11 @@
         relay.record_peer(id(1), 1, confirming, now);
     }
     BOOST_TEST(!relay.should_poll_store(start + 3900ms));
-    // In a zone of few routers each asks in the end.
+    // In a zone of few routers each polls in the end.
     BOOST_TEST(relay.should_poll_store(start + 4s));
 }
 
-BOOST_AUTO_TEST_CASE(a_router_that_hears_its_zone_asks_if_it_is_its_turn)
+BOOST_AUTO_TEST_CASE(a_starting_router_that_knows_its_zone_polls_if_it_ranks_first)
 {
     table_relay relay(id(0), {.leaving_notice = 3000ms});
     relay.wait_for_peers(start);
@@ -214,7 +213,7 @@
     BOOST_TEST(relay.should_poll_store(start + 100ms));
 }
 
-BOOST_AUTO_TEST_CASE(in_a_small_zone_all_ask)
+BOOST_AUTO_TEST_CASE(all_routers_of_a_small_zone_poll)
 {
     table_relay relay(id(0), {.leaving_notice = 3000ms});
     relay.set_own_state(1, {.polls_store = true, .answer_count = 1}, true, start);
@@ -226,13 +225,13 @@
     BOOST_TEST(relay.should_poll_store(start));
 }
 
-BOOST_AUTO_TEST_CASE(a_newer_copy_that_says_something_else_is_taken_over_once)
+BOOST_AUTO_TEST_CASE(a_newer_copy_with_other_content_is_applied_once)
 {
     run(1s);
     const auto from = pollers()[0];
-    const auto resting = std::find_if(states.begin(), states.end(),
-                                      [](const auto& each) { return !each.polls_store; });
-    auto& relay = relays[static_cast<std::size_t>(resting - states.begin())];
+    const auto copying = std::find_if(states.begin(), states.end(),
+                                      [](const auto& state) { return !state.polls_store; });
+    auto& relay = relays[static_cast<std::size_t>(copying - states.begin())];
     BOOST_TEST(!relay.source(now).has_value());
 
     const table_state changed{
@@ -243,7 +242,7 @@
     relay.record_copy(id(from), changed, now);
 
     BOOST_TEST(!relay.source(now).has_value());
-    // One that lags behind is no source.
+    // A router whose copy is older is no source.
     relay.record_peer(
         id(8), 1,
         {.polls_store = true, .answer_count = 91, .revision = 8, .content_hash = content_hash},
