--- a/src/libcaraway/router/daemon_tables.cpp
+++ b/src/libcaraway/router/daemon_tables.cpp
@@ -1,4 +1,4 @@
-// What a router learns from the store, and writes there.
+// How a router reads the tables of the platform's store and writes its own row there.
 #include "libcaraway/router/daemon.hpp"
 
 namespace caraway::router
@@ -9,38 +9,44 @@
 
 using std::chrono::milliseconds;
 
-/// A table of routers that start and stop rarely, and say so themselves; at the start of a fleet
-/// it fills within seconds, so the first pause is short and each is twice the one before.
-constexpr milliseconds routers_first_pause{1000};
-constexpr milliseconds routers_period{15000};
-constexpr milliseconds own_row_retry{700};
-/// The store takes some 150 transactions a second in a part; a fleet of hundreds that starts at one
-/// moment spreads them, as its routers hear of each other from those that their settings name.
-constexpr milliseconds own_row_spread{2000};
-/// The store's own answer to a call that waits for runners, spaced so that a table in which every
-/// heartbeat shows costs three calls a second.
+/// Intervals between reads of the table of routers. Routers start and stop rarely and announce it
+/// themselves. While a fleet starts, the table fills within seconds, so the first interval is short
+/// and each following one is twice as long.
+constexpr milliseconds min_routers_interval{1000};
+constexpr milliseconds max_routers_interval{15000};
+constexpr milliseconds own_row_retry_delay{700};
+/// A partition of the store accepts about 150 transactions per second. Routers of a fleet of
+/// hundreds that starts at once therefore delay writing their rows by a random time of up to this;
+/// meanwhile they discover each other through the seed routers in their settings.
+constexpr milliseconds max_own_row_delay{2000};
+/// The time between an answer with upstreams and the next call. Each heartbeat of an upstream
+/// changes the table; this limits the calls for it to three per second.
 constexpr milliseconds upstreams_gap{350};
-/// Calls that the store holds: they bound how long a connection that went silent goes unnoticed.
+/// How long the store holds long-polling calls. This bounds how long a silently broken connection
+/// goes unnoticed.
 constexpr milliseconds upstreams_hold{1500};
 constexpr milliseconds configuration_hold{1500};
-/// Routers from which on each asks the store less often. A new configuration still arrives at once,
-/// and the digests of those that have it tell the rest. Upstreams must be followed within the time
-/// that a leaving one still serves (2 to 3 s): the rest of it is for the call itself and for
-/// requests that are on their way.
-constexpr std::size_t paced_from = 20;
-constexpr double gap_of_notice = 0.6;
-/// Where few routers ask for all of their zone, the store's answers come so often that the others
-/// notice in time when they stop (routing/table_relay), and each change is passed on at once.
-constexpr double hold_of_notice = 0.3;
+/// For each multiple of this number of routers, the gap for upstreams and the hold for the
+/// configuration grow by their base value, so that each router polls the store less often. A new
+/// configuration still arrives at once: the digests of the routers that have it notify the others.
+/// Changes of upstreams must arrive within the time that a leaving upstream still serves (2 to 3
+/// s), so the gap is limited to a fraction of it; the rest is for the call itself and for requests
+/// in flight.
+constexpr std::size_t routers_per_slowdown = 20;
+constexpr double max_gap_fraction = 0.6;
+/// Where few routers poll for their whole zone, the hold is a fraction of the same time, so that
+/// the others notice early enough when answers stop (routing/table_relay), and each change is
+/// passed on at once.
+constexpr double shared_hold_fraction = 0.3;
 constexpr milliseconds shared_gap{200};
-constexpr milliseconds longest_hold{2500};
-/// Calls of a router that rests: the longest hold but for a margin that the store allows (30 s),
-/// and pauses after failures.
-constexpr milliseconds resting_hold{25000};
-constexpr milliseconds resting_pause{3000};
-constexpr milliseconds longest_pause = routing::follower_options{}.max_backoff;
-/// Of what an upstream accepts, the part that all routers together keep open idle.
-constexpr double idle_share = 0.6;
+constexpr milliseconds max_hold{2500};
+/// Calls for the configuration by a router that copies upstreams from its peers: the hold, which is
+/// the maximum that the store allows (30 s) less a margin, and the longest backoff after failures.
+constexpr milliseconds passive_hold{25000};
+constexpr milliseconds passive_max_backoff{3000};
+constexpr milliseconds default_max_backoff = routing::follower_options{}.max_backoff;
+/// The fraction of an upstream's connection limit that all routers together may keep idle.
+constexpr double idle_fraction = 0.6;
 
 }  // namespace
 
@@ -73,8 +79,8 @@
     if (!core_.options.seeds.empty() && !is_seed())
     {
         relay_.wait_for_peers(core_.now());
-        next_own_row_ =
-            core_.now() + std::chrono::duration_cast<milliseconds>(own_row_spread * core_.draw());
+        next_own_row_ = core_.now() +
+                        std::chrono::duration_cast<milliseconds>(max_own_row_delay * core_.draw());
         configurations_->rest();
         upstreams_->rest();
     }
@@ -84,8 +90,8 @@
 
 void daemon::sync_routers_table(base::time_point now)
 {
-    const bool reads = now >= next_routers_read_;
-    if (reads && upstreams_->resting())
+    const bool is_read_due = now >= next_routers_read_;
+    if (is_read_due && upstreams_->resting())
     {
         request_routers_from_peer(now);
     }
@@ -97,7 +103,7 @@
     {
         write_own_row(now);
     }
-    else if (own_row_written_ && reads && !upstreams_->resting())
+    else if (own_row_written_ && is_read_due && !upstreams_->resting())
     {
         read_routers(now);
     }
@@ -105,8 +111,8 @@
 
 void daemon::request_routers_from_peer(base::time_point now)
 {
-    const auto* source = peers_.with_store(now, core_.draw());
-    if (source != nullptr && link_.ask(source->control, true))
+    const auto* peer = peers_.with_store(now, core_.draw());
+    if (peer != nullptr && link_.ask(peer->control, true))
     {
         schedule_routers_read(now);
     }
@@ -114,7 +120,7 @@
 
 void daemon::write_own_row(base::time_point now)
 {
-    next_own_row_ = now + own_row_retry;
+    next_own_row_ = now + own_row_retry_delay;
     store_busy_ = true;
     platform_.routers.write(own_row(),
                             [this](const base::result<void>& result)
@@ -137,13 +143,13 @@
                 take_routers(result.value().rows);
                 return;
             }
-            next_routers_read_ = core_.now() + own_row_retry;
+            next_routers_read_ = core_.now() + own_row_retry_delay;
         });
 }
 
 void daemon::schedule_routers_read(base::time_point now)
 {
-    routers_pause_ = std::clamp(routers_pause_ * 2, routers_first_pause, routers_period);
+    routers_pause_ = std::clamp(routers_pause_ * 2, min_routers_interval, max_routers_interval);
     next_routers_read_ = now + routers_pause_;
 }
 
@@ -151,58 +157,62 @@
 {
     const auto routers = peers_.size() + 1;
     core_.retries.set_routers(routers);
-    const auto pace = static_cast<int>(1 + routers / paced_from);
-    const auto notice = static_cast<double>(core_.options.leaving_notice.count());
-    const milliseconds longest_gap(static_cast<std::int64_t>(gap_of_notice * notice));
-    const milliseconds hold(static_cast<std::int64_t>(hold_of_notice * notice));
-    upstreams_->set_pace(std::min(upstreams_gap * pace, longest_gap), upstreams_hold);
+    const auto slowdown = static_cast<int>(1 + routers / routers_per_slowdown);
+    const auto notice_ms = static_cast<double>(core_.options.leaving_notice.count());
+    const milliseconds max_gap(static_cast<std::int64_t>(max_gap_fraction * notice_ms));
+    const milliseconds hold(static_cast<std::int64_t>(shared_hold_fraction * notice_ms));
+    upstreams_->set_pace(std::min(upstreams_gap * slowdown, max_gap), upstreams_hold);
     if (relay_.is_shared(core_.now()))
     {
         upstreams_->set_pace(shared_gap, std::min(upstreams_hold, hold));
     }
-    // A router that has peers to hear from may find late that its connection has gone silent, and
-    // that the store is back.
-    const bool resting = upstreams_->resting();
-    configurations_->set_pace({}, resting ? resting_hold
-                                          : std::min(configuration_hold * pace, longest_hold));
-    configurations_->set_longest_pause(resting ? resting_pause : longest_pause);
+    // A router that receives updates from peers may be late in detecting that its connection to the
+    // store is broken, or that the store has recovered.
+    const bool is_passive = upstreams_->resting();
+    configurations_->set_pace({}, is_passive ? passive_hold
+                                             : std::min(configuration_hold * slowdown, max_hold));
+    configurations_->set_longest_pause(is_passive ? passive_max_backoff : default_max_backoff);
     const auto table = core_.table();
     if (!table)
     {
         return;
     }
-    double least = 1000;
-    for (const auto& each : table->accepted().services)
+    double min_connections = 1000;
+    for (const auto& service : table->accepted().services)
     {
-        least = std::min(least, static_cast<double>(each.max_connections));
+        min_connections = std::min(min_connections, static_cast<double>(service.max_connections));
     }
-    const auto idle = static_cast<std::size_t>(least * idle_share / static_cast<double>(routers));
-    core_.pool.set_max_idle(std::max<std::size_t>(idle, 2));
+    const auto max_idle =
+        static_cast<std::size_t>(min_connections * idle_fraction / static_cast<double>(routers));
+    core_.pool.set_max_idle(std::max<std::size_t>(max_idle, 2));
 }
 
 void daemon::apply_operator_rows(const std::vector<row>& rows,
-                                 std::optional<std::uint64_t> whole_at)
+                                 std::optional<std::uint64_t> listing_revision)
 {
     std::set<base::zone_id> listed;
     bool changed = false;
-    for (const auto& each : rows)
+    for (const auto& operator_row : rows)
     {
-        if (each.key == platform_.configuration_key && !each.removed)
+        if (operator_row.key == platform_.configuration_key && !operator_row.removed)
         {
-            apply_configuration(each.value, "store");
+            apply_configuration(operator_row.value, "store");
         }
-        if (const auto zone = drained_zone_of(each))
+        if (const auto zone = drained_zone_of(operator_row))
         {
             listed.insert(*zone);
-            changed |= core_.note_zone(
-                {.zone = *zone, .drained = !each.removed, .revision = each.revision}, "store");
+            changed |= core_.note_zone({.zone = *zone,
+                                        .drained = !operator_row.removed,
+                                        .revision = operator_row.revision},
+                                       "store");
         }
     }
-    if (whole_at)
+    if (listing_revision)
     {
-        for (const auto& each : core_.directory.zones().unlisted_updates(listed, *whole_at))
+        for (const auto& update :
+             core_.directory.zones().unlisted_updates(listed, *listing_revision))
         {
-            changed |= core_.note_zone(each, "store");
+            changed |= core_.note_zone(update, "store");
         }
     }
     if (changed)
@@ -211,9 +221,9 @@
     }
 }
 
-std::optional<base::zone_id> daemon::drained_zone_of(const row& from)
+std::optional<base::zone_id> daemon::drained_zone_of(const row& operator_row)
 {
-    const auto zone = platform_.decode_drained_zone(from);
+    const auto zone = platform_.decode_drained_zone(operator_row);
     if (!zone)
     {
         return std::nullopt;
@@ -221,11 +231,11 @@
     if (!*zone)
     {
         core_.log.line("drained_zone_unreadable",
-                       {{"row", from.key}, {"because", zone->error().message}});
+                       {{"row", operator_row.key}, {"because", zone->error().message}});
         return std::nullopt;
     }
-    const auto& known = core_.options.zones;
-    if (!known.empty() && !known.contains(zone->value()))
+    const auto& known_zones = core_.options.zones;
+    if (!known_zones.empty() && !known_zones.contains(zone->value()))
     {
         core_.log.line("drained_zone_unknown", {{"zone", zone->value().str()}});
         return std::nullopt;
@@ -233,16 +243,16 @@
     return zone->value();
 }
 
-void daemon::apply_configuration(const std::string& text, std::string_view from)
+void daemon::apply_configuration(const std::string& text, std::string_view source)
 {
     auto decoded = platform_.decode_configuration(text);
     if (!decoded)
     {
         core_.log.line("configuration_unreadable",
-                       {{"from", from}, {"because", decoded.error().message}});
+                       {{"from", source}, {"because", decoded.error().message}});
         return;
     }
-    if (core_.adopt(std::move(decoded.value()), from))
+    if (core_.adopt(std::move(decoded.value()), source))
     {
         configuration_text_ = text;
         update_limits_per_router();
--- a/src/libcaraway/router/daemon_upstreams.cpp
+++ b/src/libcaraway/router/daemon_upstreams.cpp
@@ -1,4 +1,4 @@
-// What a router makes of the upstreams that the store and its peers tell of.
+// How a router applies the updates of upstreams that it receives from the store and from peers.
 #include "libcaraway/router/daemon.hpp"
 
 namespace caraway::router
@@ -9,146 +9,148 @@
 
 using std::chrono::milliseconds;
 
-/// News of more upstreams at a time are one line: at a start of some hundred routers there would be
-/// one for each of them and each upstream.
-constexpr std::size_t most_lines = 8;
-/// How long a router that starts expects to learn of others.
-constexpr milliseconds first_peers{3000};
+/// Changes of more upstreams than this at once are logged as one line. Otherwise the start of a
+/// fleet of some hundred routers would log a line per router and upstream.
+constexpr std::size_t max_upstream_lines = 8;
+/// How long a starting router is expected to take to discover peers.
+constexpr milliseconds initial_discovery_time{3000};
 
 }  // namespace
 
-void daemon::apply_upstreams(const std::vector<row>& rows, std::optional<std::uint64_t> whole_at,
-                             std::string_view from)
+void daemon::apply_upstreams(const std::vector<row>& rows,
+                             std::optional<std::uint64_t> listing_revision, std::string_view source)
 {
     const auto now = core_.now();
-    std::vector<const row*> news;
+    std::vector<const row*> changes;
     std::set<base::upstream_id> listed;
-    // In the order in which they were written: an upstream may start and leave within one answer.
-    for (const auto& each : rows)
+    // Rows are applied in the order in which they were written: an upstream may both start and
+    // leave within one answer.
+    for (const auto& upstream_row : rows)
     {
-        const base::upstream_id id(each.key);
-        if (each.removed)
+        const base::upstream_id id(upstream_row.key);
+        if (upstream_row.removed)
         {
-            unreadable_.erase(each.key);
-            log_removed(
-                id, from, each.revision,
-                name(core_.directory.remove(id, {.revision = each.revision, .received = now})));
+            unreadable_.erase(upstream_row.key);
+            log_removed(id, source, upstream_row.revision,
+                        name(core_.directory.remove(
+                            id, {.revision = upstream_row.revision, .received = now})));
             continue;
         }
         listed.insert(id);
-        if (apply_upstream(each))
+        if (apply_upstream(upstream_row))
         {
-            news.push_back(&each);
+            changes.push_back(&upstream_row);
         }
     }
-    log_upstreams(news, from);
-    if (whole_at)
+    log_upstreams(changes, source);
+    if (listing_revision)
     {
-        for (const auto& id :
-             core_.directory.remove_unlisted(listed, {.revision = *whole_at, .received = now}))
+        for (const auto& id : core_.directory.remove_unlisted(
+                 listed, {.revision = *listing_revision, .received = now}))
         {
-            log_removed(id, from, *whole_at, "not_in_listing");
+            log_removed(id, source, *listing_revision, "not_in_listing");
         }
         upstreams_listed_ = true;
     }
     if (upstream_rows_.size() > core_.directory.size())
     {
-        std::erase_if(upstream_rows_, [&](const auto& each)
-                      { return core_.directory.find(base::upstream_id(each.first)) == nullptr; });
+        std::erase_if(upstream_rows_, [&](const auto& entry)
+                      { return core_.directory.find(base::upstream_id(entry.first)) == nullptr; });
     }
     core_.pump();
 }
 
-void daemon::log_upstreams(const std::vector<const row*>& news, std::string_view from)
+void daemon::log_upstreams(const std::vector<const row*>& changes, std::string_view source)
 {
-    if (news.size() > most_lines)
+    if (changes.size() > max_upstream_lines)
     {
-        std::string all;
-        for (const auto* each : news)
+        std::string summary;
+        for (const auto* changed_row : changes)
         {
-            const auto* entry = core_.directory.find(base::upstream_id(each->key));
-            all += each->key + (entry != nullptr && entry->draining ? " draining, " : ", ");
+            const auto* entry = core_.directory.find(base::upstream_id(changed_row->key));
+            summary +=
+                changed_row->key + (entry != nullptr && entry->draining ? " draining, " : ", ");
         }
-        core_.log.line("upstreams", {{"count", news.size()},
-                                     {"from", from},
-                                     {"revision", news.back()->revision},
-                                     {"upstreams", all}});
+        core_.log.line("upstreams", {{"count", changes.size()},
+                                     {"from", source},
+                                     {"revision", changes.back()->revision},
+                                     {"upstreams", summary}});
         return;
     }
-    for (const auto* each : news)
+    for (const auto* changed_row : changes)
     {
-        if (const auto* entry = core_.directory.find(base::upstream_id(each->key)))
+        if (const auto* entry = core_.directory.find(base::upstream_id(changed_row->key)))
         {
-            core_.log.line("upstream", {{"upstream", each->key},
+            core_.log.line("upstream", {{"upstream", changed_row->key},
                                         {"service", entry->service.str()},
                                         {"address", entry->address.ip},
                                         {"draining", entry->draining},
-                                        {"from", from},
-                                        {"revision", each->revision}});
+                                        {"from", source},
+                                        {"revision", changed_row->revision}});
         }
     }
 }
 
-void daemon::log_removed(const base::upstream_id& id, std::string_view from, std::uint64_t revision,
-                         std::string_view outcome)
+void daemon::log_removed(const base::upstream_id& id, std::string_view source,
+                         std::uint64_t revision, std::string_view outcome)
 {
     core_.log.line(
         "upstream_removed",
-        {{"upstream", id.str()}, {"from", from}, {"revision", revision}, {"outcome", outcome}});
+        {{"upstream", id.str()}, {"from", source}, {"revision", revision}, {"outcome", outcome}});
 }
 
 void daemon::drop_expired_upstreams(base::time_point now)
 {
-    const auto log_dropped = [&](const auto& dropped, std::string_view outcome)
+    const auto log_all_removed = [&](const auto& removed, std::string_view outcome)
     {
-        for (const auto& id : dropped)
+        for (const auto& id : removed)
         {
             log_removed(id, "grace", upstreams_->revision(), outcome);
         }
     };
-    const auto doubts = core_.directory.deferring_outage_start();
-    if (doubts && peers_.store_held_since(*doubts, now))
+    const auto outage_start = core_.directory.deferring_outage_start();
+    if (outage_start && peers_.store_held_since(*outage_start, now))
     {
-        log_dropped(core_.directory.cancel_grace(now), "store_was_there");
+        log_all_removed(core_.directory.cancel_grace(now), "store_was_there");
     }
-    log_dropped(core_.directory.expire(now), "grace_over");
+    log_all_removed(core_.directory.expire(now), "grace_over");
 }
 
-bool daemon::apply_upstream(const row& each)
+bool daemon::apply_upstream(const row& upstream_row)
 {
-    auto decoded = platform_.decode_upstream(each);
+    auto decoded = platform_.decode_upstream(upstream_row);
     if (!decoded)
     {
-        discard_unreadable(each, decoded.error());
+        discard_unreadable(upstream_row, decoded.error());
         return false;
     }
     const auto& entry = decoded.value();
     const auto* known = core_.directory.find(entry.id);
-    const bool news = known == nullptr || known->draining != entry.draining;
+    const bool is_change = known == nullptr || known->draining != entry.draining;
     const auto change =
-        core_.directory.put(entry, {.revision = each.revision, .received = core_.now()});
+        core_.directory.put(entry, {.revision = upstream_row.revision, .received = core_.now()});
     if (change == routing::upstream_directory::change::outdated)
     {
         return false;
     }
-    unreadable_.erase(each.key);
-    upstream_rows_[each.key] = each;
+    unreadable_.erase(upstream_row.key);
+    upstream_rows_[upstream_row.key] = upstream_row;
     const bool restarted = change == routing::upstream_directory::change::restarted;
     if (restarted)
     {
         core_.note_restarted(entry.id, entry.process_start);
     }
     record_warmup(entry, known == nullptr || restarted);
-    return news;
+    return is_change;
 }
 
-void daemon::record_warmup(const routing::upstream& entry, bool appeared)
+void daemon::record_warmup(const routing::upstream& entry, bool is_new)
 {
     if (entry.warmup_left)
     {
         core_.note_cold(entry, *entry.warmup_left, "its_entry");
     }
-    else if (appeared && upstreams_listed_)
+    else if (is_new && upstreams_listed_)
     {
         core_.note_cold(entry, core_.cold.terms_of(entry.service).lasts, "appeared");
     }
@@ -159,25 +161,26 @@
     if (core_.cold.any() || now >= next_sweep_)
     {
         auto fleet = peers_.fleet(now);
-        const bool starts = fleet.peers.empty() && !core_.options.seeds.empty();
-        fleet.cut_off |= starts && now - started_ < first_peers;
+        const bool is_starting = fleet.peers.empty() && !core_.options.seeds.empty();
+        fleet.cut_off |= is_starting && now - started_ < initial_discovery_time;
         core_.cold.set_fleet(std::move(fleet));
     }
     core_.note_warm();
 }
 
-void daemon::discard_unreadable(const row& from, const base::error& why)
+void daemon::discard_unreadable(const row& upstream_row, const base::error& reason)
 {
-    // What it said before no longer stands: whoever wrote over it, the upstream didn't say so.
-    const routing::update_stamp when{.revision = from.revision, .received = core_.now()};
-    if (!core_.directory.discard(base::upstream_id(from.key), when))
+    // The previous entry is no longer valid: its row was overwritten, though not by the upstream.
+    const routing::update_stamp stamp{.revision = upstream_row.revision, .received = core_.now()};
+    if (!core_.directory.discard(base::upstream_id(upstream_row.key), stamp))
     {
         return;
     }
-    upstream_rows_.erase(from.key);
-    if (unreadable_.insert(from.key).second)
+    upstream_rows_.erase(upstream_row.key);
+    if (unreadable_.insert(upstream_row.key).second)
     {
-        core_.log.line("upstream_unreadable", {{"upstream", from.key}, {"because", why.message}});
+        core_.log.line("upstream_unreadable",
+                       {{"upstream", upstream_row.key}, {"because", reason.message}});
     }
 }
 
