--- a/src/libcaraway/routing/table_relay.hpp
+++ b/src/libcaraway/routing/table_relay.hpp
@@ -65,12 +65,13 @@
     explicit table_relay(base::node_id self, relay_options options = {});
 
     void set_leaving_notice(std::chrono::milliseconds notice);
-    /// Called at a start when peers may have the tables already. Otherwise, when all routers of a
-    /// fleet start at once and know no peers, each would read all tables from the store.
+    /// Called when this router starts and peers may have the tables already. Otherwise, when all
+    /// routers of a fleet start at once and know no peers, each would read all tables from the
+    /// store.
     void wait_for_peers(base::time_point now);
     /// Called when none of the seed routers answers.
     void stop_waiting_for_peers();
-    /// Takes the state of its copy from the digest of a router in the same zone.
+    /// Records the state of a peer's copy, from a digest of a router in the same zone.
     void record_peer(const base::node_id& peer, double capacity, const table_state& state,
                      base::time_point now);
     /// The state of this router's own copy. `has_read` is true once the router has all tables.
