--- a/src/libcaraway/router/daemon.cpp
+++ b/src/libcaraway/router/daemon.cpp
@@ -70,11 +70,11 @@
                caller_protocol protocol, platform_port platform, telemetry::line_log& log,
                settings_source reread)
     : core_(loop, clock, std::move(options), std::move(protocol), log),
-      platform_(std::move(platform)), reread_(std::move(reread)), life_(now_as_life(clock)),
+      platform_(std::move(platform)), reread_(std::move(reread)), incarnation_(now_as_life(clock)),
       peers_(core_.options.name, core_.options.zone), relay_(core_.options.name),
       link_(
           core_, peers_, relay_, [this] { return make_digest(); },
-          [this](const table_copy& copy) { return take_copy(copy); }),
+          [this](const table_copy& copy) { return apply_copy(copy); }),
       signals_(loop)
 {
 }
@@ -95,13 +95,13 @@
     BOOST_OUTCOME_TRY(link_.open(at.datagrams));
     core_.hear_peers = [this]
     {
-        link_.hear_waiting();
+        link_.receive_pending();
     };
     open_tables(platform_);
     watch_signals();
     core_.log.line("start", {{"router", at.name.str()},
                              {"zone", at.zone.str()},
-                             {"life", life_},
+                             {"life", incarnation_},
                              {"program", CARAWAY_VERSION}});
     tick();
     return base::success();
@@ -178,7 +178,7 @@
     const auto now = core_.now();
     notice_lateness(now);
     resume_listening();
-    core_.board.drop_old_peers(now, peers_.period() * lost_digests);
+    core_.board.drop_old_peers(now, peers_.digest_period() * lost_digests);
     if (now >= next_rate_)
     {
         account_second(now);
@@ -189,14 +189,14 @@
     core_.expire_waiting();
     core_.pump();
     choose_source(now);
-    link_.tell();
-    ask_peers(now);
+    link_.send_due_digests();
+    request_missing_tables(now);
     tell_store(now);
     if (now >= next_sweep_)
     {
         next_sweep_ = now + sweep_period;
         core_.pool.sweep();
-        peers_.forget_old(now);
+        peers_.remove_expired(now);
         set_shares_of_limits();
         core_.set_share_capacity();
     }
@@ -287,7 +287,7 @@
     stopping_since_ = now;
     core_.refuse_from = now + serve_while_stopping;
     core_.log.line("stop", {{"answering", callers_->answering()}});
-    link_.tell();
+    link_.send_due_digests();
 }
 
 void daemon::progress_stop(base::time_point now)
--- a/src/libcaraway/router/daemon.hpp
+++ b/src/libcaraway/router/daemon.hpp
@@ -69,7 +69,7 @@
     void log_work(const work_done& before, const work_done& now) const;
     /// After connections were refused for the rest of a tick.
     void resume_listening();
-    void ask_peers(base::time_point now);
+    void request_missing_tables(base::time_point now);
     /// Whom to ask for what they know, as things are; nobody if nothing is missing.
     std::optional<routing::endpoint> peer_to_ask(base::time_point now);
     /// Starts or ends asking the store, as the zone's other routers stand.
@@ -79,7 +79,7 @@
     bool is_seed() const;
     routing::table_state tables() const;
     /// Tells the zone at once of what the store changed: the copy's mark is another.
-    void tell_changes(std::uint64_t mark);
+    void announce_changes(std::uint64_t mark);
     void tell_store(base::time_point now);
     void write_own_row(base::time_point now);
     /// Learn of other routers: from the store, or from a peer that asks it.
@@ -110,9 +110,9 @@
     void drop_missing(base::time_point now);
     /// An entry that doesn't tell of an upstream that may be used.
     void drop_unreadable(const row& from, const base::error& why);
-    void take_routers(const std::vector<row>& rows);
+    void apply_router_rows(const std::vector<row>& rows);
     /// Whether this router's upstreams are those that the copy tells of now.
-    bool take_copy(const table_copy& copy);
+    bool apply_copy(const table_copy& copy);
     table_copy make_copy(base::config_version peer_has) const;
     /// What changed since then, and the routers known if they are wanted; nothing: that isn't known
     /// any more.
@@ -122,7 +122,7 @@
     std::vector<routing::peer> known_routers() const;
     table_copy begin_copy(base::config_version peer_has) const;
     /// The same as text.
-    const std::string& copy_for(base::config_version peer_has);
+    const std::string& encoded_copy(base::config_version peer_has);
     /// Who this router is and where it is reached; then whether and how it takes callers.
     routing::digest identity() const;
     routing::digest presence() const;
@@ -147,7 +147,7 @@
     settings_source reread_;
     /// The last complaint about them, which isn't repeated at each reading.
     std::string settings_fault_;
-    std::uint64_t life_;
+    std::uint64_t incarnation_;
     base::time_point started_{};
     /// All upstreams were told of once; one that appears later has just started.
     bool upstreams_listed_ = false;
@@ -155,7 +155,7 @@
     routing::peer_table peers_;
     routing::table_relay relay_;
     /// Of what was told to the routers of this zone last.
-    std::uint64_t told_mark_ = 0;
+    std::uint64_t announced_mark_ = 0;
     peer_link link_;
     boost::asio::signal_set signals_;
     http::owner_token owner_;
@@ -164,7 +164,7 @@
     std::unique_ptr<table_sync> upstreams_;
     std::string configuration_text_;
     /// A copy as it was told last.
-    struct told_copy
+    struct cached_copy
     {
         std::string text;
         base::config_version version{};
@@ -172,8 +172,8 @@
         base::time_point made{};
     };
     /// For peers that have the configuration in force, and for those that don't.
-    told_copy told_without_;
-    told_copy told_with_;
+    cached_copy copy_without_configuration_;
+    cached_copy copy_with_configuration_;
     std::map<std::string, row> upstream_rows_;
     /// Keys of entries that were complained about; said once, though they are written each second.
     std::set<std::string> unreadable_;
@@ -188,13 +188,13 @@
     base::time_point last_tick_{};
     base::time_point next_sweep_{};
     base::time_point next_reload_{};
-    base::time_point next_ask_{};
+    base::time_point next_table_request_{};
     base::time_point next_own_row_{};
     base::time_point next_routers_read_{};
     std::chrono::milliseconds routers_pause_{};
     std::size_t seed_ = 0;
     base::time_point next_rate_{};
-    base::time_point next_readings_{};
+    base::time_point next_prefill_records_{};
     work_done counted_;
     std::chrono::milliseconds latest_tick_{};
     double request_rate_ = 0;
--- a/src/libcaraway/router/daemon_answers.cpp
+++ b/src/libcaraway/router/daemon_answers.cpp
@@ -59,7 +59,8 @@
         return;
     }
     const base::zone_id zone(query_value(target, platform_.entry.zone_field));
-    const auto entries = peers_.entries(zone, self(), core_.now(), [this] { return core_.draw(); });
+    const auto entries =
+        peers_.entry_points(zone, self(), core_.now(), [this] { return core_.draw(); });
     if (entries.empty())
     {
         request->respond(http::make_response(http::status::service_unavailable), {});
@@ -79,9 +80,9 @@
             return text.empty() ? 0 : std::strtoull(text.c_str(), nullptr, 10);
         };
         const base::config_version has{number("have")};
-        const copy_position since{.life = number("life"), .changes = number("since")};
+        const copy_position since{.incarnation = number("life"), .changes = number("since")};
         const auto partial = make_partial_copy(has, since, number("routers") > 0);
-        answer_json(request, partial ? encode(*partial) : copy_for(has));
+        answer_json(request, partial ? encode(*partial) : encoded_copy(has));
     }
     else if (target == "/state")
     {
@@ -166,7 +167,7 @@
     {
         peers.push_back({{"router", id.str()},
                          {"zone", each.zone.str()},
-                         {"heard", peers_.is_heard(each, now)},
+                         {"heard", peers_.is_reachable(each, now)},
                          {"ready", each.ready},
                          {"version", static_cast<std::uint64_t>(each.version)}});
     }
@@ -174,7 +175,7 @@
             {"version", static_cast<std::uint64_t>(core_.version())},
             {"ready", ready()},
             {"stopping", is_stopping()},
-            {"asks_store", !upstreams_->resting()},
+            {"asks_store", !upstreams_->is_paused()},
             {"waiting", core_.line.size()},
             {"upstreams", upstreams},
             {"peers", peers}};
--- a/src/libcaraway/router/daemon_peers.cpp
+++ b/src/libcaraway/router/daemon_peers.cpp
@@ -22,16 +22,16 @@
 
 }  // namespace
 
-void daemon::ask_peers(base::time_point now)
+void daemon::request_missing_tables(base::time_point now)
 {
-    if (now < next_ask_)
+    if (now < next_table_request_)
     {
         return;
     }
-    next_ask_ = now + ask_period;
+    next_table_request_ = now + ask_period;
     if (const auto peer = peer_to_ask(now))
     {
-        link_.ask(*peer);
+        link_.request_copy(*peer);
     }
     if (!core_.options.seeds.empty() && link_.unanswered() >= core_.options.seeds.size())
     {
@@ -41,11 +41,11 @@
 
 std::optional<routing::endpoint> daemon::peer_to_ask(base::time_point now)
 {
-    if (const auto* newer = peers_.newer(core_.version(), now, core_.draw()))
+    if (const auto* newer = peers_.with_newer_configuration(core_.version(), now, core_.draw()))
     {
         return newer->control;
     }
-    if (const auto source = upstreams_->resting() ? relay_.source(now) : std::nullopt)
+    if (const auto source = upstreams_->is_paused() ? relay_.source(now) : std::nullopt)
     {
         return peers_.all().at(*source).control;
     }
@@ -54,7 +54,7 @@
     {
         return std::nullopt;
     }
-    if (const auto* fresh = peers_.with_store(now, core_.draw()))
+    if (const auto* fresh = peers_.with_fresh_tables(now, core_.draw()))
     {
         return fresh->control;
     }
@@ -84,21 +84,21 @@
     relay_.set_leaving_notice(core_.options.leaving_notice);
     const auto own = tables();
     relay_.set_own(core_.options.capacity, own, knows_all(), now);
-    tell_changes(own.mark);
+    announce_changes(own.mark);
     const bool follows = relay_.follows(now);
     choose_configuration_source(follows);
-    if (follows != upstreams_->resting())
+    if (follows != upstreams_->is_paused())
     {
         return;
     }
     core_.log.line("store_source", {{"asks_store", follows}, {"revision", upstreams_->revision()}});
     if (follows)
     {
-        upstreams_->wake();
+        upstreams_->resume();
     }
     else
     {
-        upstreams_->rest();
+        upstreams_->pause();
     }
     set_shares_of_limits();
 }
@@ -109,34 +109,34 @@
 {
     if (asks || core_.overload.busy())
     {
-        configurations_->wake();
+        configurations_->resume();
     }
     else
     {
-        configurations_->rest();
+        configurations_->pause();
     }
 }
 
 routing::table_state daemon::tables() const
 {
-    return {.follows = !upstreams_->resting(),
+    return {.follows = !upstreams_->is_paused(),
             .lost = relay_.lost(core_.now()),
             .answers = upstreams_->answers(),
             .revision = upstreams_->revision(),
             .mark = core_.directory.mark()};
 }
 
-void daemon::tell_changes(std::uint64_t mark)
+void daemon::announce_changes(std::uint64_t mark)
 {
-    const bool tells = !upstreams_->resting() && mark != told_mark_;
-    told_mark_ = mark;
+    const bool tells = !upstreams_->is_paused() && mark != announced_mark_;
+    announced_mark_ = mark;
     if (tells)
     {
-        link_.tell_zone();
+        link_.send_zone_digests();
     }
 }
 
-void daemon::take_routers(const std::vector<row>& rows)
+void daemon::apply_router_rows(const std::vector<row>& rows)
 {
     const auto now = core_.now();
     for (const auto& each : rows)
@@ -147,11 +147,11 @@
             core_.log.line("router_row_unreadable", {{"router", each.key}});
             continue;
         }
-        peers_.introduce(routing::peer_of(decoded.value()), now);
+        peers_.add_discovered(routing::peer_of(decoded.value()), now);
     }
 }
 
-bool daemon::take_copy(const table_copy& copy)
+bool daemon::apply_copy(const table_copy& copy)
 {
     if (copy.version > core_.version())
     {
@@ -159,13 +159,13 @@
     }
     for (const auto& each : copy.zones)
     {
-        core_.note_zone(each, copy.from.str());
+        core_.note_zone(each, copy.sender.str());
     }
     for (const auto& each : copy.routers)
     {
-        peers_.introduce(each, core_.now());
+        peers_.add_discovered(each, core_.now());
     }
-    const bool resting = upstreams_->resting();
+    const bool resting = upstreams_->is_paused();
     const bool newer = resting && copy.state.revision >= upstreams_->revision();
     const bool needed = newer || upstreams_->lost() || !upstreams_->has_read();
     const bool tells = copy.partial || !copy.upstreams.empty();
@@ -173,13 +173,13 @@
     {
         return false;
     }
-    core_.log.line("peer_copy", {{"from", copy.from.str()},
+    core_.log.line("peer_copy", {{"from", copy.sender.str()},
                                  {"revision", copy.state.revision},
                                  {"own_revision", upstreams_->revision()},
                                  {"partial", copy.partial},
                                  {"upstreams", copy.upstreams.size()}});
     const auto whole_at = copy.partial ? std::nullopt : std::optional(copy.state.revision);
-    take_upstreams(copy.upstreams, whole_at, copy.from.str());
+    take_upstreams(copy.upstreams, whole_at, copy.sender.str());
     const bool same = core_.directory.mark() == copy.state.mark;
     if (copy.partial && !same)
     {
@@ -189,18 +189,19 @@
     if (resting)
     {
         upstreams_->adopt(copy.state.revision);
-        relay_.note_copied(copy.from, copy.state, core_.now());
+        relay_.note_copied(copy.sender, copy.state, core_.now());
     }
     return same;
 }
 
 /// Some hundred peers ask within a second, at a start or for a new configuration; building the
 /// text for each would take a small VM's processor. Who has the same mark holds the same upstreams.
-const std::string& daemon::copy_for(base::config_version peer_has)
+const std::string& daemon::encoded_copy(base::config_version peer_has)
 {
     const auto now = core_.now();
     const auto mark = core_.directory.mark();
-    auto& told = peer_has < core_.version() ? told_with_ : told_without_;
+    auto& told =
+        peer_has < core_.version() ? copy_with_configuration_ : copy_without_configuration_;
     const bool current = told.version == core_.version() && told.mark == mark &&
                          now - told.made < copy_lifetime && !told.text.empty();
     if (!current)
@@ -215,11 +216,12 @@
 
 table_copy daemon::begin_copy(base::config_version peer_has) const
 {
-    table_copy copy{.from = core_.options.name,
-                    .at = {.life = life_, .changes = core_.directory.changes().position()},
-                    .version = core_.version(),
-                    .state = tables(),
-                    .zones = core_.directory.zones().statements()};
+    table_copy copy{
+        .sender = core_.options.name,
+        .position = {.incarnation = incarnation_, .changes = core_.directory.changes().position()},
+        .version = core_.version(),
+        .state = tables(),
+        .zones = core_.directory.zones().statements()};
     if (peer_has < copy.version)
     {
         copy.configuration = configuration_text_;
@@ -231,8 +233,9 @@
                                                     const copy_position& since,
                                                     bool with_routers) const
 {
-    const auto changed =
-        since.life == life_ ? core_.directory.changes().since(since.changes) : std::nullopt;
+    const auto changed = since.incarnation == incarnation_
+                             ? core_.directory.changes().since(since.changes)
+                             : std::nullopt;
     if (!changed)
     {
         return std::nullopt;
@@ -285,8 +288,8 @@
 routing::digest daemon::identity() const
 {
     const auto& at = core_.options;
-    return {.from = at.name,
-            .life = life_,
+    return {.sender = at.name,
+            .incarnation = incarnation_,
             .zone = at.zone,
             .callers = at.callers,
             .control = at.control,
@@ -306,18 +309,18 @@
 {
     const auto now = core_.now();
     auto out = presence();
-    out.number = ++digests_;
+    out.sequence = ++digests_;
     out.version = core_.version();
-    out.store_held = std::chrono::duration_cast<milliseconds>(upstreams_->held(now));
+    out.tables_fresh_for = std::chrono::duration_cast<milliseconds>(upstreams_->fresh_for(now));
     out.loads = core_.board.own();
     out.usages = core_.shares.own(now);
     out.suspects = core_.crashes.entries(now);
-    out.refused = core_.refused.told(told_digests * peers_.period(), now);
-    if (now >= next_readings_)
+    out.refused = core_.refused.told(told_digests * peers_.digest_period(), now);
+    if (now >= next_prefill_records_)
     {
-        next_readings_ = now + readings_period;
+        next_prefill_records_ = now + readings_period;
         core_.pace.refresh(now);
-        out.readings = core_.pace.own(now);
+        out.prefill_records = core_.pace.own(now);
     }
     out.leaving = core_.directory.leaving(now);
     out.zones = core_.directory.zones().statements();
--- a/src/libcaraway/router/daemon_report.cpp
+++ b/src/libcaraway/router/daemon_report.cpp
@@ -53,7 +53,7 @@
     return {.requests = core_.requests,
             .refused = core_.busy_refusals,
             .pieces = core_.pieces,
-            .digests = link_.heard(),
+            .digests = link_.digests_received(),
             .refusals = callers_->refusals(),
             .lines_dropped = core_.log.dropped()};
 }
--- a/src/libcaraway/router/daemon_tables.cpp
+++ b/src/libcaraway/router/daemon_tables.cpp
@@ -54,7 +54,7 @@
                            .changed = [this](const auto& rows)
                            { take_operator_rows(rows, std::nullopt); },
                            .lost = [] {},
-                           .back =
+                           .recovered =
                                [] {
                                }});
     upstreams_ = std::make_unique<table_sync>(
@@ -65,7 +65,7 @@
                            .changed = [this](const auto& rows)
                            { take_upstreams(rows, std::nullopt, "store"); },
                            .lost = [this] { core_.directory.store_lost(core_.now()); },
-                           .back =
+                           .recovered =
                                [this]
                            {
                                core_.directory.store_back(core_.now());
@@ -75,8 +75,8 @@
         relay_.rely_on_others(core_.now());
         next_own_row_ =
             core_.now() + std::chrono::duration_cast<milliseconds>(own_row_spread * core_.draw());
-        configurations_->rest();
-        upstreams_->rest();
+        configurations_->pause();
+        upstreams_->pause();
     }
     configurations_->start();
     upstreams_->start();
@@ -85,7 +85,7 @@
 void daemon::tell_store(base::time_point now)
 {
     const bool reads = now >= next_routers_read_;
-    if (reads && upstreams_->resting())
+    if (reads && upstreams_->is_paused())
     {
         ask_for_routers(now);
     }
@@ -97,7 +97,7 @@
     {
         write_own_row(now);
     }
-    else if (own_row_written_ && reads && !upstreams_->resting())
+    else if (own_row_written_ && reads && !upstreams_->is_paused())
     {
         read_routers(now);
     }
@@ -105,8 +105,8 @@
 
 void daemon::ask_for_routers(base::time_point now)
 {
-    const auto* source = peers_.with_store(now, core_.draw());
-    if (source != nullptr && link_.ask(source->control, true))
+    const auto* source = peers_.with_fresh_tables(now, core_.draw());
+    if (source != nullptr && link_.request_copy(source->control, true))
     {
         schedule_routers_read(now);
     }
@@ -134,7 +134,7 @@
             store_busy_ = false;
             if (result)
             {
-                take_routers(result.value().rows);
+                apply_router_rows(result.value().rows);
                 return;
             }
             next_routers_read_ = core_.now() + own_row_retry;
@@ -162,7 +162,7 @@
     }
     // A router that has peers to hear from may find late that its connection has gone silent, and
     // that the store is back.
-    const bool resting = upstreams_->resting();
+    const bool resting = upstreams_->is_paused();
     configurations_->set_pace({}, resting ? resting_hold
                                           : std::min(configuration_hold * pace, longest_hold));
     configurations_->set_longest_pause(resting ? resting_pause : longest_pause);
@@ -206,7 +206,7 @@
     }
     if (changed)
     {
-        link_.tell_zone();
+        link_.send_zone_digests();
     }
 }
 
@@ -246,9 +246,9 @@
         configuration_text_ = text;
         set_shares_of_limits();
         core_.pump();
-        if (!upstreams_->resting())
+        if (!upstreams_->is_paused())
         {
-            link_.tell_zone();
+            link_.send_zone_digests();
         }
     }
 }
--- a/src/libcaraway/router/daemon_upstreams.cpp
+++ b/src/libcaraway/router/daemon_upstreams.cpp
@@ -107,7 +107,7 @@
         }
     };
     const auto doubts = core_.directory.doubts_since();
-    if (doubts && peers_.store_held_since(*doubts, now))
+    if (doubts && peers_.any_fresh_since(*doubts, now))
     {
         log_dropped(core_.directory.store_was_there(now), "store_was_there");
     }
--- a/src/libcaraway/router/peer_link.cpp
+++ b/src/libcaraway/router/peer_link.cpp
@@ -22,7 +22,7 @@
 }  // namespace
 
 peer_link::peer_link(core& shared, routing::peer_table& peers, routing::table_relay& relay,
-                     digest_source make_digest, copy_taker take_copy)
+                     digest_source make_digest, copy_handler take_copy)
     : core_(shared), peers_(peers), relay_(relay), make_digest_(std::move(make_digest)),
       take_copy_(std::move(take_copy)), socket_(shared.loop), caller_(shared.loop, shared.timers)
 {
@@ -47,14 +47,14 @@
     return base::success();
 }
 
-void peer_link::tell()
+void peer_link::send_due_digests()
 {
     send(peers_.take_due(core_.now()));
 }
 
-void peer_link::tell_zone()
+void peer_link::send_zone_digests()
 {
-    send(peers_.heard_in_zone(core_.now()));
+    send(peers_.reachable_in_zone(core_.now()));
 }
 
 void peer_link::send(const std::vector<routing::endpoint>& to)
@@ -73,7 +73,7 @@
     }
 }
 
-bool peer_link::ask(const routing::endpoint& from, bool routers)
+bool peer_link::request_copy(const routing::endpoint& from, bool routers)
 {
     if (caller_.busy())
     {
@@ -83,7 +83,7 @@
     const auto known = copied_.find({from.ip, from.port});
     if (known != copied_.end())
     {
-        target += "&life=" + std::to_string(known->second.life) +
+        target += "&life=" + std::to_string(known->second.incarnation) +
                   "&since=" + std::to_string(known->second.changes);
     }
     target += routers ? "&routers=1" : "";
@@ -111,7 +111,7 @@
     const std::pair key(from.ip, from.port);
     if (take_copy_(copy.value()))
     {
-        copied_[key] = copy.value().at;
+        copied_[key] = copy.value().position;
     }
     else
     {
@@ -119,7 +119,7 @@
     }
 }
 
-void peer_link::hear_waiting()
+void peer_link::receive_pending()
 {
     if (core_.now() - last_heard_ >= longest_unheard)
     {
@@ -169,13 +169,13 @@
     ++heard_;
     auto& from = received.value();
     const auto now = core_.now();
-    if (!peers_.heard(from, now))
+    if (!peers_.record_digest(from, now))
     {
         return;
     }
     if (from.zone == core_.options.zone)
     {
-        relay_.heard(from.from, from.capacity, from.tables, now);
+        relay_.heard(from.sender, from.capacity, from.tables, now);
     }
     for (const auto& each : from.leaving)
     {
@@ -183,19 +183,19 @@
     }
     for (const auto& each : from.zones)
     {
-        core_.note_zone(each, from.from.str());
+        core_.note_zone(each, from.sender.str());
     }
     // At once: the tick that looks for what is missing comes up to its whole period later.
     if (from.zone == core_.options.zone && from.version > core_.version())
     {
-        ask(from.control);
+        request_copy(from.control);
     }
-    core_.board.set_peer(from.from, std::move(from.loads), now);
-    core_.shares.set_peer(from.from, std::move(from.usages), now);
+    core_.board.set_peer(from.sender, std::move(from.loads), now);
+    core_.shares.set_peer(from.sender, std::move(from.usages), now);
     core_.refused.merge(from.refused, now);
-    if (!from.readings.empty())
+    if (!from.prefill_records.empty())
     {
-        core_.pace.set_peer(from.from, std::move(from.readings), now);
+        core_.pace.set_peer(from.sender, std::move(from.prefill_records), now);
     }
     if (!from.suspects.empty())
     {
--- a/src/libcaraway/router/peer_link.hpp
+++ b/src/libcaraway/router/peer_link.hpp
@@ -17,34 +17,34 @@
 {
 public:
     /// Whether this router holds now what the copy told, so that the next may be partial.
-    using copy_taker = std::function<bool(const table_copy&)>;
+    using copy_handler = std::function<bool(const table_copy&)>;
     using digest_source = std::function<routing::digest()>;
 
     peer_link(core& shared, routing::peer_table& peers, routing::table_relay& relay,
-              digest_source make_digest, copy_taker take_copy);
+              digest_source make_digest, copy_handler take_copy);
 
     /// Receives digests there; a port 0 becomes the one that it got.
     base::result<void> open(routing::endpoint& at);
 
     /// Sends digests to whom they are due.
-    void tell();
+    void send_due_digests();
     /// Something changed that the routers of this zone should hear of at once.
-    void tell_zone();
+    void send_zone_digests();
     /// Takes in all datagrams that wait, if none was for a while. On a small VM in a burst a turn
     /// of the loop takes a second and more; a request that was placed in it went to an upstream
     /// that had left 3 to 4 s before, though the word of it lay here.
-    void hear_waiting();
+    void receive_pending();
     /// Asks for a copy of the tables unless a question is under way; whether it did. Of
     /// upstreams that were copied from there before only the changes are told; `routers` if those
     /// that the peer knows are wanted besides.
-    bool ask(const routing::endpoint& from, bool routers = false);
+    bool request_copy(const routing::endpoint& from, bool routers = false);
     /// Questions in a row that got no answer.
     std::size_t unanswered() const
     {
         return unanswered_;
     }
     /// Digests taken in, ever.
-    std::uint64_t heard() const
+    std::uint64_t digests_received() const
     {
         return heard_;
     }
@@ -64,7 +64,7 @@
     routing::peer_table& peers_;
     routing::table_relay& relay_;
     digest_source make_digest_;
-    copy_taker take_copy_;
+    copy_handler take_copy_;
     /// What this router holds of each peer's tables, by where it asks the peer.
     std::map<std::pair<std::string, std::uint16_t>, copy_position> copied_;
     udp::socket socket_;
--- a/src/libcaraway/router/ports.hpp
+++ b/src/libcaraway/router/ports.hpp
@@ -42,7 +42,7 @@
 /// How callers' requests are understood and upstreams spoken to.
 struct caller_protocol
 {
-    std::function<base::result<routing::request_facts>(const http::request_head&)> understand;
+    std::function<base::result<routing::request_metadata>(const http::request_head&)> understand;
     /// The whole message for an upstream.
     std::function<std::string(const http::request_head&, const std::string& body,
                               const forward_terms&)>
--- a/src/libcaraway/router/request_end.cpp
+++ b/src/libcaraway/router/request_end.cpp
@@ -175,7 +175,7 @@
     {
         line["prompt"] = facts_.prompt_tokens;
         line["output"] = expected_output();
-        line["patience_ms"] = facts_.patience.value_or(milliseconds(0)).count();
+        line["patience_ms"] = facts_.caller_timeout.value_or(milliseconds(0)).count();
     }
     if (sent_by_)
     {
--- a/src/libcaraway/router/request_session.cpp
+++ b/src/libcaraway/router/request_session.cpp
@@ -44,7 +44,8 @@
         return;
     }
     request_->on_gone([self = shared_from_this()] { self->on_gone(); });
-    const auto patience = std::min(facts_.patience.value_or(route_->timeout), route_->timeout);
+    const auto patience =
+        std::min(facts_.caller_timeout.value_or(route_->timeout), route_->timeout);
     deadline_ = request_->arrived() + patience;
     if (core_.refuse_from && core_.now() >= *core_.refuse_from)
     {
--- a/src/libcaraway/router/request_session.hpp
+++ b/src/libcaraway/router/request_session.hpp
@@ -95,7 +95,7 @@
     core& core_;
     std::shared_ptr<http::exchange> request_;
     std::shared_ptr<const routing::route_table> table_;
-    routing::request_facts facts_;
+    routing::request_metadata facts_;
     const routing::route* route_ = nullptr;
     const routing::service* service_ = nullptr;
     const routing::workspace* workspace_ = nullptr;
--- a/src/libcaraway/router/table_copy.hpp
+++ b/src/libcaraway/router/table_copy.hpp
@@ -12,7 +12,7 @@
 struct copy_position
 {
     /// Of the router's process.
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
     /// Changes of its upstreams until then.
     std::uint64_t changes = 0;
 
@@ -23,8 +23,8 @@
 /// there, so that the peer decodes them by itself.
 struct table_copy
 {
-    base::node_id from;
-    copy_position at;
+    base::node_id sender;
+    copy_position position;
     std::string configuration;
     base::config_version version{};
     /// Only what changed since the position that the peer told; removed rows among them.
--- a/src/libcaraway/router/table_sync.cpp
+++ b/src/libcaraway/router/table_sync.cpp
@@ -15,7 +15,7 @@
     schedule();
 }
 
-void table_sync::rest()
+void table_sync::pause()
 {
     if (resting_)
     {
@@ -25,11 +25,11 @@
     if (follower_.lost())
     {
         follower_.answered(follower_.revision(), timers_.now());
-        on_.back();
+        on_.recovered();
     }
 }
 
-void table_sync::wake()
+void table_sync::resume()
 {
     if (!resting_)
     {
@@ -108,7 +108,7 @@
     if (was_lost)
     {
         log_.line("store_back", {{"table", name_}, {"revision", follower_.revision()}});
-        on_.back();
+        on_.recovered();
     }
     if (whole)
     {
--- a/src/libcaraway/router/table_sync.hpp
+++ b/src/libcaraway/router/table_sync.hpp
@@ -21,7 +21,7 @@
         /// Rows that changed, in order.
         std::function<void(const std::vector<row>&)> changed;
         std::function<void()> lost;
-        std::function<void()> back;
+        std::function<void()> recovered;
     };
 
     table_sync(std::string name, http::timer_queue& timers, telemetry::line_log& log,
@@ -37,10 +37,10 @@
         follower_.set_longest_pause(pause);
     }
     /// Makes no more calls: peers tell what changes. What was lost counts as back.
-    void rest();
+    void pause();
     /// Makes calls again, from the revision that was told last.
-    void wake();
-    bool resting() const
+    void resume();
+    bool is_paused() const
     {
         return resting_;
     }
@@ -64,7 +64,7 @@
         return follower_.has_read();
     }
     /// How long the copy has been fresh without a break; 0 if it isn't.
-    base::duration held(base::time_point now) const
+    base::duration fresh_for(base::time_point now) const
     {
         return resting_ || lost() || !has_read() ? base::duration::zero() : now - fresh_since_;
     }
--- a/src/libcaraway/routing/configuration.hpp
+++ b/src/libcaraway/routing/configuration.hpp
@@ -109,11 +109,11 @@
     std::uint32_t tokens = 0;
 };
 
-struct request_facts
+struct request_metadata
 {
     base::request_id id;
     /// How long the caller waits, from when it sent the request.
-    std::optional<milliseconds> patience;
+    std::optional<milliseconds> caller_timeout;
     std::string key;
     std::uint32_t prompt_tokens = 0;
     std::uint32_t max_output_tokens = 0;
--- a/src/libcaraway/routing/digest.cpp
+++ b/src/libcaraway/routing/digest.cpp
@@ -174,25 +174,25 @@
 
 digest digest_of(const json& from)
 {
-    return {.from = base::node_id(from.at(1).get<std::string>()),
-            .life = from.at(2).get<std::uint64_t>(),
-            .number = from.at(3).get<std::uint64_t>(),
+    return {.sender = base::node_id(from.at(1).get<std::string>()),
+            .incarnation = from.at(2).get<std::uint64_t>(),
+            .sequence = from.at(3).get<std::uint64_t>(),
             .zone = base::zone_id(from.at(4).get<std::string>()),
-            .callers = endpoint_of(from.at(5)),
-            .control = endpoint_of(from.at(6)),
-            .datagrams = endpoint_of(from.at(7)),
+            .callers = parse_endpoint(from.at(5)),
+            .control = parse_endpoint(from.at(6)),
+            .datagrams = parse_endpoint(from.at(7)),
             .ready = from.at(8).get<bool>(),
             .capacity = from.at(13).get<double>(),
             .request_rate = from.at(14).get<double>(),
             .version = base::config_version{from.at(9).get<std::uint64_t>()},
-            .store_held = std::chrono::milliseconds(from.at(10).get<std::int64_t>()),
+            .tables_fresh_for = std::chrono::milliseconds(from.at(10).get<std::int64_t>()),
             .loads = loads_of(from.at(11)),
             .usages = usages_of(from.at(12)),
             .suspects = suspects_of(from.at(15)),
             .refused = marks_of(from.at(16)),
-            .readings = readings_of(from.at(17)),
+            .prefill_records = readings_of(from.at(17)),
             .leaving = leaving_of(from.at(19)),
-            .zones = zones_of(from.at(20)),
+            .zones = parse_zone_updates(from.at(20)),
             .tables = tables_of(from.at(18))};
 }
 
@@ -201,26 +201,26 @@
 std::string encode(const digest& what)
 {
     const auto all = json::array({format,
-                                  what.from.str(),
-                                  what.life,
-                                  what.number,
+                                  what.sender.str(),
+                                  what.incarnation,
+                                  what.sequence,
                                   what.zone.str(),
                                   endpoint_json(what.callers),
                                   endpoint_json(what.control),
                                   endpoint_json(what.datagrams),
                                   what.ready,
                                   static_cast<std::uint64_t>(what.version),
-                                  what.store_held.count(),
+                                  what.tables_fresh_for.count(),
                                   loads_json(what.loads),
                                   usages_json(what.usages),
                                   what.capacity,
                                   what.request_rate,
                                   suspects_json(what.suspects),
                                   marks_json(what.refused),
-                                  readings_json(what.readings),
+                                  readings_json(what.prefill_records),
                                   tables_json(what.tables),
                                   leaving_json(what.leaving),
-                                  zones_json(what.zones)});
+                                  zone_updates_json(what.zones)});
     std::string out;
     json::to_cbor(all, out);
     return out;
--- a/src/libcaraway/routing/digest.hpp
+++ b/src/libcaraway/routing/digest.hpp
@@ -20,10 +20,10 @@
 /// changes nothing.
 struct digest
 {
-    base::node_id from;
+    base::node_id sender;
     /// Drawn at the start of the process; larger is later.
-    std::uint64_t life = 0;
-    std::uint64_t number = 0;
+    std::uint64_t incarnation = 0;
+    std::uint64_t sequence = 0;
     base::zone_id zone;
     /// Where callers connect, where peers ask, where digests go.
     endpoint callers;
@@ -38,7 +38,7 @@
     base::config_version version{};
     /// How long the sender's copy of the platform's tables has been fresh without a break;
     /// 0: it isn't.
-    std::chrono::milliseconds store_held{};
+    std::chrono::milliseconds tables_fresh_for{};
     upstream_loads loads;
     workspace_usages usages;
     /// Requests that upstreams crashed under.
@@ -46,7 +46,7 @@
     /// Requests that the sender refused just now.
     std::vector<request_mark> refused;
     /// What the sender saw of the engines' reading; empty in most digests, as it changes slowly.
-    reading_records readings;
+    reading_records prefill_records;
     /// Upstreams that take no new requests, as the sender knows: told with each digest, as a busy
     /// router takes a second longer to ask for a whole copy.
     std::vector<leaving_upstream> leaving;
--- a/src/libcaraway/routing/json_parts.cpp
+++ b/src/libcaraway/routing/json_parts.cpp
@@ -10,12 +10,12 @@
     return json::array({of.ip, of.port});
 }
 
-endpoint endpoint_of(const json& from)
+endpoint parse_endpoint(const json& from)
 {
     return {.ip = from.at(0).get<std::string>(), .port = from.at(1).get<std::uint16_t>()};
 }
 
-json zones_json(const std::vector<zone_statement>& zones)
+json zone_updates_json(const std::vector<zone_statement>& zones)
 {
     auto out = json::array();
     for (const auto& each : zones)
@@ -25,7 +25,7 @@
     return out;
 }
 
-std::vector<zone_statement> zones_of(const json& from)
+std::vector<zone_statement> parse_zone_updates(const json& from)
 {
     std::vector<zone_statement> zones;
     for (const auto& each : from)
--- a/src/libcaraway/routing/json_parts.hpp
+++ b/src/libcaraway/routing/json_parts.hpp
@@ -11,9 +11,9 @@
 {
 
 nlohmann::json endpoint_json(const endpoint& of);
-endpoint endpoint_of(const nlohmann::json& from);
+endpoint parse_endpoint(const nlohmann::json& from);
 
-nlohmann::json zones_json(const std::vector<zone_statement>& zones);
-std::vector<zone_statement> zones_of(const nlohmann::json& from);
+nlohmann::json zone_updates_json(const std::vector<zone_statement>& zones);
+std::vector<zone_statement> parse_zone_updates(const nlohmann::json& from);
 
 }  // namespace caraway::routing
--- a/src/libcaraway/routing/peer_table.cpp
+++ b/src/libcaraway/routing/peer_table.cpp
@@ -28,9 +28,9 @@
 
 peer peer_of(const digest& from)
 {
-    return {.id = from.from,
-            .life = from.life,
-            .number = from.number,
+    return {.id = from.sender,
+            .incarnation = from.incarnation,
+            .sequence = from.sequence,
             .zone = from.zone,
             .callers = from.callers,
             .control = from.control,
@@ -39,7 +39,7 @@
             .capacity = from.capacity,
             .request_rate = from.request_rate,
             .version = from.version,
-            .store_held = from.store_held};
+            .tables_fresh_for = from.tables_fresh_for};
 }
 
 peer_table::peer_table(base::node_id self, base::zone_id zone, peer_options options)
@@ -47,7 +47,7 @@
 {
 }
 
-void peer_table::introduce(const peer& of, base::time_point now)
+void peer_table::add_discovered(const peer& of, base::time_point now)
 {
     if (of.id == self_)
     {
@@ -61,43 +61,43 @@
         return;
     }
     // A later life may stand at another address; one that is heard speaks for itself.
-    if (of.life > known.life && !is_heard(known, now))
+    if (of.incarnation > known.incarnation && !is_reachable(known, now))
     {
-        known.life = of.life;
+        known.incarnation = of.incarnation;
         known.callers = of.callers;
         known.control = of.control;
         known.datagrams = of.datagrams;
     }
 }
 
-bool peer_table::heard(const digest& from, base::time_point now)
+bool peer_table::record_digest(const digest& from, base::time_point now)
 {
-    if (from.from == self_)
+    if (from.sender == self_)
     {
         return false;
     }
-    auto& known = peers_[from.from];
-    const bool old =
-        from.life < known.life || (from.life == known.life && from.number <= known.number);
+    auto& known = peers_[from.sender];
+    const bool old = from.incarnation < known.incarnation ||
+                     (from.incarnation == known.incarnation && from.sequence <= known.sequence);
     if (old)
     {
         return false;
     }
     const auto last_sent = known.last_sent;
     known = peer_of(from);
-    known.heard = now;
+    known.last_digest = now;
     known.known_since = now;
     known.last_sent = last_sent;
     return true;
 }
 
-void peer_table::forget_old(base::time_point now)
+void peer_table::remove_expired(base::time_point now)
 {
     std::erase_if(peers_,
                   [&](const auto& each)
                   {
-                      const auto since = each.second.heard.value_or(each.second.known_since);
-                      return since + options_.forget <= now;
+                      const auto since = each.second.last_digest.value_or(each.second.known_since);
+                      return since + options_.expiry <= now;
                   });
 }
 
@@ -106,7 +106,8 @@
     std::vector<endpoint> due;
     for (auto& [id, each] : peers_)
     {
-        const auto pause = is_heard(each, now) ? period() - half_tick : options_.probe_period;
+        const auto pause =
+            is_reachable(each, now) ? digest_period() - half_tick : options_.probe_period;
         if (each.last_sent + pause <= now)
         {
             each.last_sent = now;
@@ -116,12 +117,12 @@
     return due;
 }
 
-std::vector<endpoint> peer_table::heard_in_zone(base::time_point now) const
+std::vector<endpoint> peer_table::reachable_in_zone(base::time_point now) const
 {
     std::vector<endpoint> out;
     for (const auto& [id, each] : peers_)
     {
-        if (each.zone == zone_ && is_heard(each, now))
+        if (each.zone == zone_ && is_reachable(each, now))
         {
             out.push_back(each.datagrams);
         }
@@ -129,16 +130,16 @@
     return out;
 }
 
-std::vector<endpoint> peer_table::entries(const base::zone_id& zone, const peer& self,
-                                          base::time_point now,
-                                          const std::function<double()>& draw) const
+std::vector<endpoint> peer_table::entry_points(const base::zone_id& zone, const peer& self,
+                                               base::time_point now,
+                                               const std::function<double()>& draw) const
 {
     const auto all = listed(self, now);
     std::vector<const peer*> near;
     std::copy_if(all.begin(), all.end(), std::back_inserter(near),
                  [&](const peer* each) { return each->zone == zone; });
-    const bool too_few = near.size() < std::min(options_.entries_in_zone, all.size());
-    const bool crowded = load_of(near) > options_.crowded * load_of(all);
+    const bool too_few = near.size() < std::min(options_.min_zone_entry_points, all.size());
+    const bool crowded = load_of(near) > options_.zone_overload_ratio * load_of(all);
     const auto& chosen = too_few || crowded ? all : near;
 
     double largest = 0;
@@ -146,15 +147,15 @@
     {
         largest = std::max(largest, each->capacity);
     }
-    std::vector<endpoint> entries;
+    std::vector<endpoint> entry_points;
     for (const auto* each : chosen)
     {
-        if (entries.size() < options_.max_entries && draw() * largest < each->capacity)
+        if (entry_points.size() < options_.max_entry_points && draw() * largest < each->capacity)
         {
-            entries.push_back(each->callers);
+            entry_points.push_back(each->callers);
         }
     }
-    return entries;
+    return entry_points;
 }
 
 std::vector<const peer*> peer_table::listed(const peer& self, base::time_point now) const
@@ -167,7 +168,7 @@
     }
     for (const auto& [id, each] : peers_)
     {
-        if (each.ready && (is_heard(each, now) || (cut_off && each.heard)))
+        if (each.ready && (is_reachable(each, now) || (cut_off && each.last_digest)))
         {
             all.push_back(&each);
         }
@@ -179,7 +180,7 @@
 void peer_table::leave_out_flooded(std::vector<const peer*>& from) const
 {
     const auto usual = load_of(from);
-    const auto limit = std::max(options_.flooded, 3 * usual);
+    const auto limit = std::max(options_.overload_rate, 3 * usual);
     std::vector<const peer*> others;
     std::copy_if(from.begin(), from.end(), std::back_inserter(others),
                  [&](const peer* each) { return each->request_rate <= limit * each->capacity; });
@@ -189,12 +190,13 @@
     }
 }
 
-const peer* peer_table::newer(base::config_version than, base::time_point now, double draw) const
+const peer* peer_table::with_newer_configuration(base::config_version than, base::time_point now,
+                                                 double draw) const
 {
     std::vector<const peer*> newest;
     for (const auto& [id, each] : peers_)
     {
-        if (each.version <= than || !is_heard(each, now))
+        if (each.version <= than || !is_reachable(each, now))
         {
             continue;
         }
@@ -210,12 +212,12 @@
     return drawn(std::move(newest), draw);
 }
 
-const peer* peer_table::with_store(base::time_point now, double draw) const
+const peer* peer_table::with_fresh_tables(base::time_point now, double draw) const
 {
     std::vector<const peer*> fresh;
     for (const auto& [id, each] : peers_)
     {
-        if (is_heard(each, now) && each.store_held.count() > 0)
+        if (is_reachable(each, now) && each.tables_fresh_for.count() > 0)
         {
             fresh.push_back(&each);
         }
@@ -237,13 +239,14 @@
     return from[static_cast<std::size_t>(std::min(at, among - 1))];
 }
 
-bool peer_table::store_held_since(base::time_point then, base::time_point now) const
+bool peer_table::any_fresh_since(base::time_point then, base::time_point now) const
 {
     return std::any_of(peers_.begin(), peers_.end(),
                        [&](const auto& each)
                        {
                            const auto& of = each.second;
-                           return is_heard(of, now) && *of.heard - of.store_held < then;
+                           return is_reachable(of, now) &&
+                                  *of.last_digest - of.tables_fresh_for < then;
                        });
 }
 
@@ -253,9 +256,9 @@
     std::size_t heard = 0;
     for (const auto& [id, each] : peers_)
     {
-        const bool hears = is_heard(each, now);
+        const bool hears = is_reachable(each, now);
         heard += hears ? 1 : 0;
-        if (hears || (!each.heard && each.known_since + options_.expected > now))
+        if (hears || (!each.last_digest && each.known_since + options_.first_digest_timeout > now))
         {
             out.peers.push_back(id);
         }
@@ -270,28 +273,28 @@
     std::size_t heard = 0;
     for (const auto& [id, each] : peers_)
     {
-        recent += each.heard && *each.heard + options_.recent > now ? 1 : 0;
-        heard += is_heard(each, now) ? 1 : 0;
+        recent += each.last_digest && *each.last_digest + options_.recent_window > now ? 1 : 0;
+        heard += is_reachable(each, now) ? 1 : 0;
     }
     return heard * 2 < recent;
 }
 
-bool peer_table::is_heard(const peer& of, base::time_point now) const
+bool peer_table::is_reachable(const peer& of, base::time_point now) const
 {
-    return of.heard && *of.heard + silence() > now;
+    return of.last_digest && *of.last_digest + silence() > now;
 }
 
-std::chrono::milliseconds peer_table::period() const
+std::chrono::milliseconds peer_table::digest_period() const
 {
-    const auto times = std::max<std::size_t>(1, (peers_.size() + 1) / options_.full_rate);
-    return options_.period * times;
+    const auto times = std::max<std::size_t>(1, (peers_.size() + 1) / options_.full_rate_routers);
+    return options_.digest_period * times;
 }
 
 std::chrono::milliseconds peer_table::silence() const
 {
-    const auto periods = static_cast<double>(period().count()) * options_.silent_periods;
+    const auto periods = static_cast<double>(digest_period().count()) * options_.reachable_periods;
     const std::chrono::milliseconds usual(static_cast<std::int64_t>(periods));
-    return std::min(usual, options_.longest_silence);
+    return std::min(usual, options_.max_silence);
 }
 
 }  // namespace caraway::routing
--- a/tests/users_platform/test_peer_digests.cpp
+++ b/tests/users_platform/test_peer_digests.cpp
@@ -53,9 +53,9 @@
     constexpr int count = 40;
     for (int i = 0; i < count; ++i)
     {
-        tell(router, {.from = base::node_id("peer-" + std::to_string(i)),
-                      .life = 1,
-                      .number = 1,
+        tell(router, {.sender = base::node_id("peer-" + std::to_string(i)),
+                      .incarnation = 1,
+                      .sequence = 1,
                       .zone = base::zone_id("z1")});
     }
 
