--- a/src/libcaraway/routing/configuration.hpp
+++ b/src/libcaraway/routing/configuration.hpp
@@ -10,68 +10,72 @@
 #include <string>
 #include <vector>
 
-/// What the accepted configuration means to the routers, whichever store or file it came from.
+/// The accepted configuration in the form that routers use, independent of the store or file that
+/// it was read from.
 namespace caraway::routing
 {
 
 using std::chrono::milliseconds;
 
-/// One of the services that a route's traffic is divided between.
+/// A service that receives a share of a route's traffic, in proportion to `weight`.
 struct service_weight
 {
     base::service_id service;
     double weight = 1;
 };
 
-/// Requests of one host and path prefix, and how they are treated.
+/// Matches requests by host and path prefix, and says how they are handled.
 struct route
 {
     std::string name;
     std::string host;
-    /// Begins and ends with a slash.
+    /// Path prefix; begins and ends with a slash.
     std::string prefix;
     std::vector<service_weight> services;
-    /// May run more than once for one request.
+    /// Whether a request may be executed more than once.
     bool idempotent = false;
-    /// Answered by an event stream.
+    /// Whether requests are answered by an event stream.
     bool streaming = false;
-    /// A stream that another upstream may go on with from an event id; idempotent for that reason.
+    /// Whether another upstream can resume the stream after an event id; implies idempotent.
     bool resumable = false;
-    /// Needs no workspace's key.
+    /// Whether requests are accepted without a workspace's key.
     bool anonymous = false;
-    /// Upstreams that one request may be sent to.
+    /// Maximum number of upstreams that one request is sent to.
     std::uint32_t max_attempts = 1;
-    /// 0 is the most urgent.
+    /// Lower values are more urgent; 0 is the most urgent.
     std::int32_t priority = 0;
-    /// Longest time that a caller is kept waiting.
+    /// Maximum time for a request, queueing included.
     milliseconds timeout{30000};
-    /// Within this the answer, or a stream's first event, is on time.
+    /// Target time to the answer, or to a stream's first event.
     milliseconds latency_target{1000};
-    /// Longest pause between events of a stream that is on time.
+    /// Target for the longest time between two events of a stream.
     milliseconds gap_target{1000};
 };
 
-/// What a model engine of a service can hold.
+/// Capacity of each model engine of a service.
 struct engine_capacity
 {
+    /// Requests that are processed at the same time.
     std::uint32_t slots = 1;
+    /// Size of the KV cache in tokens.
     std::uint64_t kv_tokens = 0;
-    /// Tokens in one event of a stream.
+    /// Tokens per event of a stream.
     std::uint32_t tokens_per_event = 1;
-    /// How long one engine takes to hand a token of what it has read to another; 0: they can't.
+    /// Time to transfer one token of KV cache from one engine to another; 0 if the engines do not
+    /// support transfers.
     std::chrono::duration<double, std::milli> transfer_per_token{0};
 };
 
 struct service
 {
     base::service_id id;
-    /// Connections that one of its upstreams takes from all routers together.
+    /// Maximum number of connections to one upstream from all routers together.
     std::uint32_t max_connections = 100;
-    /// How long one of its upstreams is cold after its start, and what it bears meanwhile, in
-    /// requests a second from all routers together; 0: it is never cold.
+    /// How long an upstream is cold after its start, and the rate that it can handle meanwhile, in
+    /// requests per second from all routers together; a rate of 0 means never cold.
     milliseconds warmup{0};
     double warmup_rate = 0;
-    /// Present for services of model engines.
+    /// Set for services of model engines, empty for others.
     std::optional<engine_capacity> engine;
 };
 
@@ -82,7 +86,7 @@
     std::vector<std::string> keys;
 };
 
-/// What a caller may send, and how long it may take.
+/// Limits on the size and duration of callers' requests.
 struct caller_limits
 {
     std::size_t header_bytes = 16384;
@@ -98,29 +102,32 @@
     std::vector<service> services;
     std::vector<workspace> workspaces;
     caller_limits limits;
-    /// What all engines give together: a token read counts once, a generated one twice. 0: unknown.
+    /// Capacity of all engines together in weighted tokens: a prompt token counts once, a generated
+    /// token twice. 0 if unknown.
     double tokens_per_second = 0;
 };
 
-/// What the caller says of its request, decoded from however it says it.
+/// One part of a prompt, identified so that equal parts of several requests are recognised.
 struct prompt_part
 {
     std::string id;
     std::uint32_t tokens = 0;
 };
 
+/// Information about a request that its caller supplies, decoded from the caller's protocol.
 struct request_metadata
 {
     base::request_id id;
-    /// How long the caller waits, from when it sent the request.
+    /// How long the caller waits for the answer, counted from when the caller sent the request.
     std::optional<milliseconds> caller_timeout;
     std::string key;
     std::uint32_t prompt_tokens = 0;
     std::uint32_t max_output_tokens = 0;
-    /// The caller's guess of the output's tokens; 0: none.
+    /// The caller's estimate of the number of output tokens; 0 if there is none.
     std::uint32_t output_hint = 0;
-    /// The prompt's parts in order; all but the last are shared with other requests.
+    /// The prompt's parts in order; all but the last may be shared with other requests.
     std::vector<prompt_part> parts;
+    /// Id of the last event that the caller received, if the caller resumes a stream.
     std::optional<std::uint64_t> resume_after;
 };
 
--- a/src/libcaraway/routing/digest.cpp
+++ b/src/libcaraway/routing/digest.cpp
@@ -12,9 +12,9 @@
 
 using nlohmann::json;
 
-/// First field of each digest; another format gets another number.
+/// First field of each digest. Increase it whenever the format changes.
 constexpr std::uint64_t format = 8;
-constexpr std::size_t fields = 21;
+constexpr std::size_t field_count = 21;
 
 json loads_json(const upstream_loads& loads)
 {
@@ -26,10 +26,10 @@
     return out;
 }
 
-upstream_loads loads_of(const json& from)
+upstream_loads parse_loads(const json& encoded)
 {
     upstream_loads loads;
-    for (const auto& each : from)
+    for (const auto& each : encoded)
     {
         loads[base::upstream_id(each.at(0).get<std::string>())] = {
             .running = each.at(1).get<std::uint32_t>(),
@@ -50,10 +50,10 @@
     return out;
 }
 
-workspace_usages usages_of(const json& from)
+workspace_usages parse_usages(const json& encoded)
 {
     workspace_usages usages;
-    for (const auto& each : from)
+    for (const auto& each : encoded)
     {
         usages[base::workspace_id(each.at(0).get<std::string>())] = {
             .asked = each.at(1).get<double>(), .served = each.at(2).get<double>()};
@@ -77,10 +77,10 @@
     return out;
 }
 
-std::vector<attempts::suspect_entry> suspects_of(const json& from)
+std::vector<attempts::suspect_entry> parse_suspects(const json& encoded)
 {
     std::vector<attempts::suspect_entry> suspects;
-    for (const auto& each : from)
+    for (const auto& each : encoded)
     {
         attempts::suspect_entry entry{
             .fingerprint = attempts::request_fingerprint{each.at(0).get<std::uint64_t>()},
@@ -106,49 +106,49 @@
     return out;
 }
 
-std::vector<request_mark> marks_of(const json& from)
+std::vector<request_mark> parse_marks(const json& encoded)
 {
     std::vector<request_mark> marks;
-    for (const auto& each : from)
+    for (const auto& each : encoded)
     {
         marks.push_back(request_mark{each.get<std::uint32_t>()});
     }
     return marks;
 }
 
-json readings_json(const reading_records& readings)
+json prefill_records_json(const reading_records& records)
 {
     auto out = json::array();
-    for (const auto& [id, seen] : readings)
+    for (const auto& [id, record] : records)
     {
-        out.push_back({id.str(), std::llround(seen.milliseconds), std::llround(seen.tokens)});
+        out.push_back({id.str(), std::llround(record.milliseconds), std::llround(record.tokens)});
     }
     return out;
 }
 
-reading_records readings_of(const json& from)
+reading_records parse_prefill_records(const json& encoded)
 {
-    reading_records readings;
-    for (const auto& each : from)
+    reading_records records;
+    for (const auto& each : encoded)
     {
-        readings[base::upstream_id(each.at(0).get<std::string>())] = {
+        records[base::upstream_id(each.at(0).get<std::string>())] = {
             .milliseconds = each.at(1).get<double>(), .tokens = each.at(2).get<double>()};
     }
-    return readings;
+    return records;
 }
 
-json tables_json(const table_state& of)
+json tables_json(const table_state& state)
 {
-    return json::array({of.follows, of.lost, of.answers, of.revision, of.mark});
+    return json::array({state.follows, state.lost, state.answers, state.revision, state.mark});
 }
 
-table_state tables_of(const json& from)
+table_state parse_tables(const json& encoded)
 {
-    return {.follows = from.at(0).get<bool>(),
-            .lost = from.at(1).get<bool>(),
-            .answers = from.at(2).get<std::uint64_t>(),
-            .revision = from.at(3).get<std::uint64_t>(),
-            .mark = from.at(4).get<std::uint64_t>()};
+    return {.follows = encoded.at(0).get<bool>(),
+            .lost = encoded.at(1).get<bool>(),
+            .answers = encoded.at(2).get<std::uint64_t>(),
+            .revision = encoded.at(3).get<std::uint64_t>(),
+            .mark = encoded.at(4).get<std::uint64_t>()};
 }
 
 json leaving_json(const std::vector<leaving_upstream>& leaving)
@@ -161,10 +161,10 @@
     return out;
 }
 
-std::vector<leaving_upstream> leaving_of(const json& from)
+std::vector<leaving_upstream> parse_leaving(const json& encoded)
 {
     std::vector<leaving_upstream> leaving;
-    for (const auto& each : from)
+    for (const auto& each : encoded)
     {
         leaving.push_back({.id = base::upstream_id(each.at(0).get<std::string>()),
                            .born = std::chrono::milliseconds(each.at(1).get<std::int64_t>())});
@@ -172,75 +172,77 @@
     return leaving;
 }
 
-digest digest_of(const json& from)
-{
-    return {.sender = base::node_id(from.at(1).get<std::string>()),
-            .incarnation = from.at(2).get<std::uint64_t>(),
-            .sequence = from.at(3).get<std::uint64_t>(),
-            .zone = base::zone_id(from.at(4).get<std::string>()),
-            .callers = parse_endpoint(from.at(5)),
-            .control = parse_endpoint(from.at(6)),
-            .datagrams = parse_endpoint(from.at(7)),
-            .ready = from.at(8).get<bool>(),
-            .capacity = from.at(13).get<double>(),
-            .request_rate = from.at(14).get<double>(),
-            .version = base::config_version{from.at(9).get<std::uint64_t>()},
-            .tables_fresh_for = std::chrono::milliseconds(from.at(10).get<std::int64_t>()),
-            .loads = loads_of(from.at(11)),
-            .usages = usages_of(from.at(12)),
-            .suspects = suspects_of(from.at(15)),
-            .refused = marks_of(from.at(16)),
-            .prefill_records = readings_of(from.at(17)),
-            .leaving = leaving_of(from.at(19)),
-            .zones = parse_zone_updates(from.at(20)),
-            .tables = tables_of(from.at(18))};
+digest parse_digest(const json& encoded)
+{
+    return {.sender = base::node_id(encoded.at(1).get<std::string>()),
+            .incarnation = encoded.at(2).get<std::uint64_t>(),
+            .sequence = encoded.at(3).get<std::uint64_t>(),
+            .zone = base::zone_id(encoded.at(4).get<std::string>()),
+            .callers = parse_endpoint(encoded.at(5)),
+            .control = parse_endpoint(encoded.at(6)),
+            .datagrams = parse_endpoint(encoded.at(7)),
+            .ready = encoded.at(8).get<bool>(),
+            .capacity = encoded.at(13).get<double>(),
+            .request_rate = encoded.at(14).get<double>(),
+            .version = base::config_version{encoded.at(9).get<std::uint64_t>()},
+            .tables_fresh_for = std::chrono::milliseconds(encoded.at(10).get<std::int64_t>()),
+            .loads = parse_loads(encoded.at(11)),
+            .usages = parse_usages(encoded.at(12)),
+            .suspects = parse_suspects(encoded.at(15)),
+            .refused = parse_marks(encoded.at(16)),
+            .prefill_records = parse_prefill_records(encoded.at(17)),
+            .leaving = parse_leaving(encoded.at(19)),
+            .zones = parse_zone_updates(encoded.at(20)),
+            .tables = parse_tables(encoded.at(18))};
 }
 
 }  // namespace
 
-std::string encode(const digest& what)
-{
-    const auto all = json::array({format,
-                                  what.sender.str(),
-                                  what.incarnation,
-                                  what.sequence,
-                                  what.zone.str(),
-                                  endpoint_json(what.callers),
-                                  endpoint_json(what.control),
-                                  endpoint_json(what.datagrams),
-                                  what.ready,
-                                  static_cast<std::uint64_t>(what.version),
-                                  what.tables_fresh_for.count(),
-                                  loads_json(what.loads),
-                                  usages_json(what.usages),
-                                  what.capacity,
-                                  what.request_rate,
-                                  suspects_json(what.suspects),
-                                  marks_json(what.refused),
-                                  readings_json(what.prefill_records),
-                                  tables_json(what.tables),
-                                  leaving_json(what.leaving),
-                                  zone_updates_json(what.zones)});
+std::string encode(const digest& message)
+{
+    const auto fields = json::array({format,
+                                     message.sender.str(),
+                                     message.incarnation,
+                                     message.sequence,
+                                     message.zone.str(),
+                                     endpoint_json(message.callers),
+                                     endpoint_json(message.control),
+                                     endpoint_json(message.datagrams),
+                                     message.ready,
+                                     static_cast<std::uint64_t>(message.version),
+                                     message.tables_fresh_for.count(),
+                                     loads_json(message.loads),
+                                     usages_json(message.usages),
+                                     message.capacity,
+                                     message.request_rate,
+                                     suspects_json(message.suspects),
+                                     marks_json(message.refused),
+                                     prefill_records_json(message.prefill_records),
+                                     tables_json(message.tables),
+                                     leaving_json(message.leaving),
+                                     zone_updates_json(message.zones)});
     std::string out;
-    json::to_cbor(all, out);
+    json::to_cbor(fields, out);
     return out;
 }
 
 base::result<digest> decode(std::string_view bytes)
 {
-    const auto all = json::from_cbor(bytes.begin(), bytes.end(), true, false);
-    const bool known = all.is_array() && all.size() >= fields && all.at(0) == format;
-    if (!known)
+    const auto fields = json::from_cbor(bytes.begin(), bytes.end(), true, false);
+    const bool current_format =
+        fields.is_array() && fields.size() >= field_count && fields.at(0) == format;
+    if (!current_format)
     {
-        return base::make_error(base::errc::corrupt, "A datagram that is no digest.");
+        return base::make_error(base::errc::corrupt,
+                                "Datagram is not a digest of the current format.");
     }
     try
     {
-        return digest_of(all);
+        return parse_digest(fields);
     }
-    catch (const json::exception& wrong)
+    catch (const json::exception& parse_error)
     {
-        return base::make_error(base::errc::corrupt, wrong.what());
+        return base::make_error(base::errc::corrupt, parse_error.what());
     }
 }
 
--- a/src/libcaraway/routing/digest.hpp
+++ b/src/libcaraway/routing/digest.hpp
@@ -16,49 +16,52 @@
 namespace caraway::routing
 {
 
-/// What one router tells all others many times a second; state, so that a lost or repeated one
-/// changes nothing.
+/// State that a router sends to all its peers several times a second. A digest holds state rather
+/// than changes, so that lost and repeated digests do no harm.
 struct digest
 {
     base::node_id sender;
-    /// Drawn at the start of the process; larger is later.
+    /// Identifies one run of the sender's process; a later run has a larger value.
     std::uint64_t incarnation = 0;
+    /// Increases with each digest of an incarnation.
     std::uint64_t sequence = 0;
     base::zone_id zone;
-    /// Where callers connect, where peers ask, where digests go.
+    /// Addresses for callers' connections, for peers' HTTP requests, and for digests.
     endpoint callers;
     endpoint control;
     endpoint datagrams;
-    /// Takes new callers.
+    /// Whether the sender accepts new callers.
     bool ready = false;
-    /// Processor time that its VM has, in cores.
+    /// Processor time of the sender's VM, in cores.
     double capacity = 1;
-    /// Requests that it got in the last second.
+    /// Requests that the sender received in the last second.
     double request_rate = 0;
+    /// Version of the sender's configuration.
     base::config_version version{};
-    /// How long the sender's copy of the platform's tables has been fresh without a break;
-    /// 0: it isn't.
+    /// How long the sender's copy of the platform's tables has been fresh without interruption;
+    /// 0 if the copy is stale.
     std::chrono::milliseconds tables_fresh_for{};
     upstream_loads loads;
     workspace_usages usages;
-    /// Requests that upstreams crashed under.
+    /// Requests suspected of crashing upstreams.
     std::vector<attempts::suspect_entry> suspects;
-    /// Requests that the sender refused just now.
+    /// Requests that the sender rejected recently.
     std::vector<request_mark> refused;
-    /// What the sender saw of the engines' reading; empty in most digests, as it changes slowly.
+    /// Prefill speeds of engines as measured by the sender; empty in most digests, as they change
+    /// slowly.
     reading_records prefill_records;
-    /// Upstreams that take no new requests, as the sender knows: told with each digest, as a busy
-    /// router takes a second longer to ask for a whole copy.
+    /// Upstreams that the sender knows to accept no new requests. Part of each digest, as a busy
+    /// router needs a second longer to request a full copy of the tables.
     std::vector<leaving_upstream> leaving;
-    /// What was said last of availability zones.
+    /// Latest update on each availability zone: whether the zone is drained.
     std::vector<zone_statement> zones;
-    /// The sender's copy of the platform's tables.
+    /// State of the sender's copy of the platform's tables.
     table_state tables;
 };
 
-/// CBOR (RFC 8949), by library.
-std::string encode(const digest& what);
-/// Anything that isn't a digest, whole, is an error.
+/// Encodes the digest as CBOR (RFC 8949).
+std::string encode(const digest& message);
+/// Errors: `corrupt` if the bytes are anything but one complete digest of the current format.
 base::result<digest> decode(std::string_view bytes);
 
 }  // namespace caraway::routing
--- a/src/libcaraway/routing/json_parts.cpp
+++ b/src/libcaraway/routing/json_parts.cpp
@@ -5,14 +5,14 @@
 
 using nlohmann::json;
 
-json endpoint_json(const endpoint& of)
+json endpoint_json(const endpoint& address)
 {
-    return json::array({of.ip, of.port});
+    return json::array({address.ip, address.port});
 }
 
-endpoint parse_endpoint(const json& from)
+endpoint parse_endpoint(const json& encoded)
 {
-    return {.ip = from.at(0).get<std::string>(), .port = from.at(1).get<std::uint16_t>()};
+    return {.ip = encoded.at(0).get<std::string>(), .port = encoded.at(1).get<std::uint16_t>()};
 }
 
 json zone_updates_json(const std::vector<zone_statement>& zones)
@@ -25,10 +25,10 @@
     return out;
 }
 
-std::vector<zone_statement> parse_zone_updates(const json& from)
+std::vector<zone_statement> parse_zone_updates(const json& encoded)
 {
     std::vector<zone_statement> zones;
-    for (const auto& each : from)
+    for (const auto& each : encoded)
     {
         zones.push_back({.zone = base::zone_id(each.at(0).get<std::string>()),
                          .drained = each.at(1).get<bool>(),
--- a/src/libcaraway/routing/json_parts.hpp
+++ b/src/libcaraway/routing/json_parts.hpp
@@ -5,15 +5,15 @@
 
 #include <nlohmann/json.hpp>
 
-/// Parts of what routers tell each other, in digests and in copies of tables. What can't be read
-/// throws the library's exception.
+/// JSON forms shared by digests and table copies. The parse functions throw
+/// `nlohmann::json::exception` on malformed input.
 namespace caraway::routing
 {
 
-nlohmann::json endpoint_json(const endpoint& of);
-endpoint parse_endpoint(const nlohmann::json& from);
+nlohmann::json endpoint_json(const endpoint& address);
+endpoint parse_endpoint(const nlohmann::json& encoded);
 
 nlohmann::json zone_updates_json(const std::vector<zone_statement>& zones);
-std::vector<zone_statement> parse_zone_updates(const nlohmann::json& from);
+std::vector<zone_statement> parse_zone_updates(const nlohmann::json& encoded);
 
 }  // namespace caraway::routing
--- a/src/libcaraway/routing/peer_table.cpp
+++ b/src/libcaraway/routing/peer_table.cpp
@@ -8,11 +8,12 @@
 namespace
 {
 
-/// Digests are sent at ticks; one that comes a little early still counts as due.
-constexpr std::chrono::milliseconds half_tick{50};
+/// Digests are sent at ticks of the event loop; a digest is due up to this time before its period
+/// has passed, so that a slightly early tick does not skip it.
+constexpr std::chrono::milliseconds send_tolerance{50};
 
-/// Requests a second for a core of these together; 0 for none.
-double load_of(const std::vector<const peer*>& routers)
+/// Combined request rate of the routers per core, in requests per second; 0 for no routers.
+double load_per_core(const std::vector<const peer*>& routers)
 {
     double rate = 0;
     double capacity = 0;
@@ -26,20 +27,20 @@
 
 }  // namespace
 
-peer peer_of(const digest& from)
+peer peer_of(const digest& received)
 {
-    return {.id = from.sender,
-            .incarnation = from.incarnation,
-            .sequence = from.sequence,
-            .zone = from.zone,
-            .callers = from.callers,
-            .control = from.control,
-            .datagrams = from.datagrams,
-            .ready = from.ready,
-            .capacity = from.capacity,
-            .request_rate = from.request_rate,
-            .version = from.version,
-            .tables_fresh_for = from.tables_fresh_for};
+    return {.id = received.sender,
+            .incarnation = received.incarnation,
+            .sequence = received.sequence,
+            .zone = received.zone,
+            .callers = received.callers,
+            .control = received.control,
+            .datagrams = received.datagrams,
+            .ready = received.ready,
+            .capacity = received.capacity,
+            .request_rate = received.request_rate,
+            .version = received.version,
+            .tables_fresh_for = received.tables_fresh_for};
 }
 
 peer_table::peer_table(base::node_id self, base::zone_id zone, peer_options options)
@@ -47,44 +48,45 @@
 {
 }
 
-void peer_table::add_discovered(const peer& of, base::time_point now)
+void peer_table::add_discovered(const peer& discovered, base::time_point now)
 {
-    if (of.id == self_)
+    if (discovered.id == self_)
     {
         return;
     }
-    const auto [place, added] = peers_.emplace(of.id, of);
-    auto& known = place->second;
+    const auto [entry, added] = peers_.emplace(discovered.id, discovered);
+    auto& known = entry->second;
     if (added)
     {
         known.known_since = now;
         return;
     }
-    // A later life may stand at another address; one that is heard speaks for itself.
-    if (of.incarnation > known.incarnation && !is_reachable(known, now))
+    // A later incarnation may have other addresses; a reachable peer is updated by its own digests.
+    if (discovered.incarnation > known.incarnation && !is_reachable(known, now))
     {
-        known.incarnation = of.incarnation;
-        known.callers = of.callers;
-        known.control = of.control;
-        known.datagrams = of.datagrams;
+        known.incarnation = discovered.incarnation;
+        known.callers = discovered.callers;
+        known.control = discovered.control;
+        known.datagrams = discovered.datagrams;
     }
 }
 
-bool peer_table::record_digest(const digest& from, base::time_point now)
+bool peer_table::record_digest(const digest& received, base::time_point now)
 {
-    if (from.sender == self_)
+    if (received.sender == self_)
     {
         return false;
     }
-    auto& known = peers_[from.sender];
-    const bool old = from.incarnation < known.incarnation ||
-                     (from.incarnation == known.incarnation && from.sequence <= known.sequence);
-    if (old)
+    auto& known = peers_[received.sender];
+    const bool outdated =
+        received.incarnation < known.incarnation ||
+        (received.incarnation == known.incarnation && received.sequence <= known.sequence);
+    if (outdated)
     {
         return false;
     }
     const auto last_sent = known.last_sent;
-    known = peer_of(from);
+    known = peer_of(received);
     known.last_digest = now;
     known.known_since = now;
     known.last_sent = last_sent;
@@ -107,7 +109,7 @@
     for (auto& [id, each] : peers_)
     {
         const auto pause =
-            is_reachable(each, now) ? digest_period() - half_tick : options_.probe_period;
+            is_reachable(each, now) ? digest_period() - send_tolerance : options_.probe_period;
         if (each.last_sent + pause <= now)
         {
             each.last_sent = now;
@@ -132,15 +134,17 @@
 
 std::vector<endpoint> peer_table::entry_points(const base::zone_id& zone, const peer& self,
                                                base::time_point now,
-                                               const std::function<double()>& draw) const
+                                               const std::function<double()>& random_unit) const
 {
-    const auto all = listed(self, now);
-    std::vector<const peer*> near;
-    std::copy_if(all.begin(), all.end(), std::back_inserter(near),
+    const auto candidates = entry_candidates(self, now);
+    std::vector<const peer*> in_zone;
+    std::copy_if(candidates.begin(), candidates.end(), std::back_inserter(in_zone),
                  [&](const peer* each) { return each->zone == zone; });
-    const bool too_few = near.size() < std::min(options_.min_zone_entry_points, all.size());
-    const bool crowded = load_of(near) > options_.zone_overload_ratio * load_of(all);
-    const auto& chosen = too_few || crowded ? all : near;
+    const bool too_few_in_zone =
+        in_zone.size() < std::min(options_.min_zone_entry_points, candidates.size());
+    const bool zone_overloaded =
+        load_per_core(in_zone) > options_.zone_overload_ratio * load_per_core(candidates);
+    const auto& chosen = too_few_in_zone || zone_overloaded ? candidates : in_zone;
 
     double largest = 0;
     for (const auto* each : chosen)
@@ -150,7 +154,8 @@
     std::vector<endpoint> entry_points;
     for (const auto* each : chosen)
     {
-        if (entry_points.size() < options_.max_entry_points && draw() * largest < each->capacity)
+        if (entry_points.size() < options_.max_entry_points &&
+            random_unit() * largest < each->capacity)
         {
             entry_points.push_back(each->callers);
         }
@@ -158,45 +163,45 @@
     return entry_points;
 }
 
-std::vector<const peer*> peer_table::listed(const peer& self, base::time_point now) const
+std::vector<const peer*> peer_table::entry_candidates(const peer& self, base::time_point now) const
 {
-    const bool cut_off = seems_cut_off(now);
-    std::vector<const peer*> all;
+    const bool isolated = is_isolated(now);
+    std::vector<const peer*> candidates;
     if (self.ready)
     {
-        all.push_back(&self);
+        candidates.push_back(&self);
     }
     for (const auto& [id, each] : peers_)
     {
-        if (each.ready && (is_reachable(each, now) || (cut_off && each.last_digest)))
+        if (each.ready && (is_reachable(each, now) || (isolated && each.last_digest)))
         {
-            all.push_back(&each);
+            candidates.push_back(&each);
         }
     }
-    leave_out_flooded(all);
-    return all;
+    remove_overloaded(candidates);
+    return candidates;
 }
 
-void peer_table::leave_out_flooded(std::vector<const peer*>& from) const
+void peer_table::remove_overloaded(std::vector<const peer*>& routers) const
 {
-    const auto usual = load_of(from);
-    const auto limit = std::max(options_.overload_rate, 3 * usual);
-    std::vector<const peer*> others;
-    std::copy_if(from.begin(), from.end(), std::back_inserter(others),
+    const auto average = load_per_core(routers);
+    const auto limit = std::max(options_.overload_rate, 3 * average);
+    std::vector<const peer*> kept;
+    std::copy_if(routers.begin(), routers.end(), std::back_inserter(kept),
                  [&](const peer* each) { return each->request_rate <= limit * each->capacity; });
-    if (others.size() * 2 > from.size())
+    if (kept.size() * 2 > routers.size())
     {
-        from = std::move(others);
+        routers = std::move(kept);
     }
 }
 
-const peer* peer_table::with_newer_configuration(base::config_version than, base::time_point now,
-                                                 double draw) const
+const peer* peer_table::with_newer_configuration(base::config_version version, base::time_point now,
+                                                 double random_unit) const
 {
     std::vector<const peer*> newest;
     for (const auto& [id, each] : peers_)
     {
-        if (each.version <= than || !is_reachable(each, now))
+        if (each.version <= version || !is_reachable(each, now))
         {
             continue;
         }
@@ -209,10 +214,10 @@
             newest.push_back(&each);
         }
     }
-    return drawn(std::move(newest), draw);
+    return pick_random(std::move(newest), random_unit);
 }
 
-const peer* peer_table::with_fresh_tables(base::time_point now, double draw) const
+const peer* peer_table::with_fresh_tables(base::time_point now, double random_unit) const
 {
     std::vector<const peer*> fresh;
     for (const auto& [id, each] : peers_)
@@ -222,79 +227,84 @@
             fresh.push_back(&each);
         }
     }
-    return drawn(std::move(fresh), draw);
+    return pick_random(std::move(fresh), random_unit);
 }
 
-const peer* peer_table::drawn(std::vector<const peer*> from, double draw) const
+const peer* peer_table::pick_random(std::vector<const peer*> candidates, double random_unit) const
 {
-    const auto others = std::stable_partition(
-        from.begin(), from.end(), [&](const peer* each) { return each->zone == zone_; });
-    const auto near = std::distance(from.begin(), others);
-    const auto among = near > 0 ? near : std::distance(from.begin(), from.end());
-    if (among == 0)
+    const auto other_zones =
+        std::stable_partition(candidates.begin(), candidates.end(),
+                              [&](const peer* each) { return each->zone == zone_; });
+    const auto in_zone = std::distance(candidates.begin(), other_zones);
+    const auto choices =
+        in_zone > 0 ? in_zone : std::distance(candidates.begin(), candidates.end());
+    if (choices == 0)
     {
         return nullptr;
     }
-    const auto at = static_cast<std::ptrdiff_t>(draw * static_cast<double>(among));
-    return from[static_cast<std::size_t>(std::min(at, among - 1))];
+    const auto index = static_cast<std::ptrdiff_t>(random_unit * static_cast<double>(choices));
+    return candidates[static_cast<std::size_t>(std::min(index, choices - 1))];
 }
 
-bool peer_table::any_fresh_since(base::time_point then, base::time_point now) const
+bool peer_table::any_fresh_since(base::time_point start, base::time_point now) const
 {
     return std::any_of(peers_.begin(), peers_.end(),
                        [&](const auto& each)
                        {
-                           const auto& of = each.second;
-                           return is_reachable(of, now) &&
-                                  *of.last_digest - of.tables_fresh_for < then;
+                           const auto& candidate = each.second;
+                           return is_reachable(candidate, now) &&
+                                  *candidate.last_digest - candidate.tables_fresh_for < start;
                        });
 }
 
 fleet_view peer_table::fleet(base::time_point now) const
 {
-    fleet_view out;
-    std::size_t heard = 0;
+    fleet_view view;
+    std::size_t reachable_count = 0;
     for (const auto& [id, each] : peers_)
     {
-        const bool hears = is_reachable(each, now);
-        heard += hears ? 1 : 0;
-        if (hears || (!each.last_digest && each.known_since + options_.first_digest_timeout > now))
+        const bool reachable = is_reachable(each, now);
+        reachable_count += reachable ? 1 : 0;
+        if (reachable ||
+            (!each.last_digest && each.known_since + options_.first_digest_timeout > now))
         {
-            out.peers.push_back(id);
+            view.peers.push_back(id);
         }
     }
-    out.cut_off = heard * 2 < peers_.size();
-    return out;
+    view.cut_off = reachable_count * 2 < peers_.size();
+    return view;
 }
 
-bool peer_table::seems_cut_off(base::time_point now) const
+bool peer_table::is_isolated(base::time_point now) const
 {
-    std::size_t recent = 0;
-    std::size_t heard = 0;
+    std::size_t recent_count = 0;
+    std::size_t reachable_count = 0;
     for (const auto& [id, each] : peers_)
     {
-        recent += each.last_digest && *each.last_digest + options_.recent_window > now ? 1 : 0;
-        heard += is_reachable(each, now) ? 1 : 0;
+        recent_count +=
+            each.last_digest && *each.last_digest + options_.recent_window > now ? 1 : 0;
+        reachable_count += is_reachable(each, now) ? 1 : 0;
     }
-    return heard * 2 < recent;
+    return reachable_count * 2 < recent_count;
 }
 
-bool peer_table::is_reachable(const peer& of, base::time_point now) const
+bool peer_table::is_reachable(const peer& candidate, base::time_point now) const
 {
-    return of.last_digest && *of.last_digest + silence() > now;
+    return candidate.last_digest && *candidate.last_digest + reachable_time() > now;
 }
 
 std::chrono::milliseconds peer_table::digest_period() const
 {
-    const auto times = std::max<std::size_t>(1, (peers_.size() + 1) / options_.full_rate_routers);
-    return options_.digest_period * times;
+    const auto factor = std::max<std::size_t>(1, (peers_.size() + 1) / options_.full_rate_routers);
+    return options_.digest_period * factor;
 }
 
-std::chrono::milliseconds peer_table::silence() const
+std::chrono::milliseconds peer_table::reachable_time() const
 {
-    const auto periods = static_cast<double>(digest_period().count()) * options_.reachable_periods;
-    const std::chrono::milliseconds usual(static_cast<std::int64_t>(periods));
-    return std::min(usual, options_.max_silence);
+    const auto reachable_ms =
+        static_cast<double>(digest_period().count()) * options_.reachable_periods;
+    const std::chrono::milliseconds unbounded(static_cast<std::int64_t>(reachable_ms));
+    return std::min(unbounded, options_.max_silence);
 }
 
 }  // namespace caraway::routing
--- a/src/libcaraway/routing/peer_table.hpp
+++ b/src/libcaraway/routing/peer_table.hpp
@@ -13,36 +13,44 @@
 
 struct peer_options
 {
-    /// Time between two digests to one peer, in a fleet of up to `full_rate` routers; in larger
-    /// ones it grows with their number, so that each gets no more digests a second.
+    /// Time between two digests to the same peer in a fleet of up to `full_rate_routers` routers.
+    /// In larger fleets it grows with the number of routers, so that the number of digests that
+    /// each router receives per second stays bounded.
     std::chrono::milliseconds digest_period{100};
     std::size_t full_rate_routers = 16;
-    /// A peer that was silent for so many periods isn't given to callers.
+    /// Number of digest periods without a digest after which a peer is considered unreachable and
+    /// is no longer listed as an entry point.
     double reachable_periods = 6.5;
-    /// However long those are: callers mustn't be sent for long to one that is gone.
+    /// Upper bound on that time, however long the digest period is, so that callers of a large
+    /// fleet are not sent to a dead router for long.
     std::chrono::milliseconds max_silence{5000};
-    /// A silent peer still gets digests, less often, so that a healed cut is noticed.
+    /// Time between two digests to an unreachable peer; they detect that a network partition has
+    /// healed.
     std::chrono::milliseconds probe_period{1000};
-    /// Peers heard within this count when a router asks itself whether it is cut off.
+    /// Peers whose last digest is no older than this are counted when a router checks whether the
+    /// router itself is isolated from the fleet.
     std::chrono::milliseconds recent_window{10000};
-    /// How long a router that it was told of counts as living before it is heard.
+    /// How long a discovered peer counts as alive while its first digest is awaited.
     std::chrono::milliseconds first_digest_timeout{5000};
-    /// From then on it is forgotten; the platform's table brings it back if it lives.
+    /// Time since its last digest, or since its discovery, after which a peer is removed. If the
+    /// peer is alive after all, it is discovered again through the platform's table.
     std::chrono::milliseconds expiry{60000};
-    /// Entry points given to a caller of a zone before those of other zones are added.
+    /// With fewer entry points than this in the caller's zone, those of other zones are added.
     std::size_t min_zone_entry_points = 2;
-    /// Entry points in one answer at most.
+    /// Maximum number of entry points in one answer.
     std::size_t max_entry_points = 64;
-    /// Callers of a zone are sent to others too once its routers get so many times the requests for
-    /// their capacity that all routers get. At 1.5 a calm day of 8 routers in 3 zones refused 0.17
-    /// of its requests, at 4 0.06: it is a last resort, and with three zones alike never reached.
+    /// Ratio of a zone's request rate per core to that of the whole fleet above which callers of
+    /// the zone are sent to other zones as well. This is a last resort that three equally loaded
+    /// zones never reach: with 8 routers in 3 zones at normal load, a ratio of 1.5 led to 0.17 of
+    /// the requests being rejected, a ratio of 4 to 0.06.
     double zone_overload_ratio = 4;
-    /// Requests a second for a core from which a router is left out of the lists while others get
-    /// less than a third of that: at 0.3 ms a request a third of its processor's time.
+    /// Requests per second and core above which a router is left out of the entry points, provided
+    /// that the fleet's average is below a third of the router's rate. At 0.3 ms per request it is
+    /// a third of the processor time.
     double overload_rate = 1000;
 };
 
-/// A router that others know.
+/// Another router of the fleet.
 struct peer
 {
     base::node_id id;
@@ -57,59 +65,68 @@
     double request_rate = 0;
     base::config_version version{};
     std::chrono::milliseconds tables_fresh_for{};
-    /// Nothing before the first digest.
+    /// When the last digest was received; empty before the first one.
     std::optional<base::time_point> last_digest;
     base::time_point known_since{};
     base::time_point last_sent{};
 };
 
-/// What a digest tells of its sender.
-peer peer_of(const digest& from);
+/// The sender of a digest, as the digest describes it.
+peer peer_of(const digest& received);
 
-/// The other routers: from the platform's table and the first routers named in the settings, then
-/// from their own digests.
+/// The other routers. They are discovered through the platform's table, the seeds in the settings
+/// and other routers' copies of the tables, and then kept current by their own digests.
 class peer_table
 {
 public:
     peer_table(base::node_id self, base::zone_id zone, peer_options options = {});
 
-    /// Told of it; nothing changes for one that is known.
-    void add_discovered(const peer& of, base::time_point now);
-    /// False for a digest of an earlier life, an older one, or this router's own.
-    bool record_digest(const digest& from, base::time_point now);
+    /// Adds a peer known only by name and addresses. For a known peer, only a later incarnation of
+    /// an unreachable one changes anything.
+    void add_discovered(const peer& discovered, base::time_point now);
+    /// Updates the sender's entry. Returns false, and changes nothing, for a digest of an earlier
+    /// incarnation, an outdated or repeated one, or one of this router's own.
+    bool record_digest(const digest& received, base::time_point now);
     void remove_expired(base::time_point now);
 
-    /// Peers that get a digest now: those that are heard, and at times the silent ones.
+    /// Datagram addresses of the peers that a digest is due to now: reachable ones each digest
+    /// period, unreachable ones each probe period. Marks the digests as sent.
     std::vector<endpoint> take_due(base::time_point now);
 
-    /// Those of this router's zone that are heard.
+    /// Datagram addresses of the reachable peers in this router's zone.
     std::vector<endpoint> reachable_in_zone(base::time_point now) const;
 
-    /// Where a caller of that zone should connect, out of all routers, this one (`self`) included
-    /// if it is ready. Callers pick one at random, so a smaller VM is named less often: in
-    /// proportion to the largest one named. `draw` is uniform in [0, 1).
+    /// Addresses that a caller of `zone` should connect to, chosen among all ready routers
+    /// including this one (`self`). Callers pick one at random, so a router is listed with a
+    /// probability in proportion to its capacity, relative to the largest candidate.
+    /// `random_unit` returns values uniform in [0, 1).
     ///
-    /// A router that hears less than half of those it knows is likely cut off itself, so it names
-    /// all it knows: callers pass over dead ones, and would else all come here.
+    /// If less than half of the peers that sent a digest recently are reachable, this router is
+    /// probably isolated from the fleet itself, so unreachable peers are listed as well: callers
+    /// skip dead routers, and would otherwise all connect to this one.
     std::vector<endpoint> entry_points(const base::zone_id& zone, const peer& self,
                                        base::time_point now,
-                                       const std::function<double()>& draw) const;
-    /// The other routers that live, or may: those that are heard, and those that it has just been
-    /// told of.
+                                       const std::function<double()>& random_unit) const;
+    /// The other routers that are alive or may be: reachable ones, and recently discovered ones
+    /// whose first digest is still awaited.
     fleet_view fleet(base::time_point now) const;
-    /// Time between two digests to one peer, as the fleet is now.
+    /// Time between two digests to the same peer at the fleet's current size.
     std::chrono::milliseconds digest_period() const;
 
-    /// A heard peer with the newest configuration, if that is newer, or with a fresh copy of the
-    /// platform's tables. Drawn, from this router's zone if there are any: all that look for one
-    /// would else ask the same at the same moment. `draw` is uniform in [0, 1).
-    const peer* with_newer_configuration(base::config_version than, base::time_point now,
-                                         double draw) const;
-    const peer* with_fresh_tables(base::time_point now, double draw) const;
-    /// Whether a heard peer has had the platform's store without a break since then.
-    bool any_fresh_since(base::time_point then, base::time_point now) const;
-
-    bool is_reachable(const peer& of, base::time_point now) const;
+    /// A reachable peer with the newest configuration, if that is newer than `version`; null if
+    /// there is none. The peer is chosen at random, from this router's zone if possible, so that
+    /// routers that need a copy at the same moment don't all request it from the same peer.
+    /// `random_unit` is uniform in [0, 1).
+    const peer* with_newer_configuration(base::config_version version, base::time_point now,
+                                         double random_unit) const;
+    /// A reachable peer with a fresh copy of the platform's tables, chosen in the same way.
+    const peer* with_fresh_tables(base::time_point now, double random_unit) const;
+    /// Whether a reachable peer's copy of the platform's tables has been fresh without interruption
+    /// since before `start`.
+    bool any_fresh_since(base::time_point start, base::time_point now) const;
+
+    /// Whether a digest of the peer was received recently enough.
+    bool is_reachable(const peer& candidate, base::time_point now) const;
     std::size_t size() const
     {
         return peers_.size();
@@ -120,11 +137,12 @@
     }
 
 private:
-    bool seems_cut_off(base::time_point now) const;
-    std::chrono::milliseconds silence() const;
-    const peer* drawn(std::vector<const peer*> from, double draw) const;
-    void leave_out_flooded(std::vector<const peer*>& from) const;
-    std::vector<const peer*> listed(const peer& self, base::time_point now) const;
+    bool is_isolated(base::time_point now) const;
+    std::chrono::milliseconds reachable_time() const;
+    const peer* pick_random(std::vector<const peer*> candidates, double random_unit) const;
+    /// Removes overloaded routers, unless less than half or just half of the routers would remain.
+    void remove_overloaded(std::vector<const peer*>& routers) const;
+    std::vector<const peer*> entry_candidates(const peer& self, base::time_point now) const;
 
     base::node_id self_;
     base::zone_id zone_;
--- a/src/libcaraway/routing/route_table.cpp
+++ b/src/libcaraway/routing/route_table.cpp
@@ -9,11 +9,12 @@
 namespace
 {
 
-std::string host_name(std::string_view host)
+std::string normalised_host(std::string_view host)
 {
     std::string name(host.substr(0, host.find(':')));
     std::transform(name.begin(), name.end(), name.begin(),
-                   [](unsigned char letter) { return static_cast<char>(std::tolower(letter)); });
+                   [](unsigned char character)
+                   { return static_cast<char>(std::tolower(character)); });
     return name;
 }
 
@@ -23,7 +24,7 @@
 {
     for (const auto& each : accepted_.routes)
     {
-        routes_.emplace(host_name(each.host) + each.prefix, &each);
+        routes_.emplace(normalised_host(each.host) + each.prefix, &each);
     }
     for (const auto& each : accepted_.workspaces)
     {
@@ -41,7 +42,7 @@
 const route* route_table::find_route(std::string_view host, std::string_view target) const
 {
     const auto path = target.substr(0, target.find_first_of("?#"));
-    const auto name = host_name(host);
+    const auto name = normalised_host(host);
     auto slash = path.rfind('/');
     while (slash != std::string_view::npos)
     {
@@ -71,23 +72,23 @@
     return found == services_.end() ? nullptr : found->second;
 }
 
-const base::service_id& route_table::pick_service(const route& of, double draw)
+const base::service_id& route_table::pick_service(const route& matched, double random_unit)
 {
     double total = 0;
-    for (const auto& each : of.services)
+    for (const auto& each : matched.services)
     {
         total += each.weight;
     }
-    double left = draw * total;
-    for (const auto& each : of.services)
+    double remaining = random_unit * total;
+    for (const auto& each : matched.services)
     {
-        if (left < each.weight)
+        if (remaining < each.weight)
         {
             return each.service;
         }
-        left -= each.weight;
+        remaining -= each.weight;
     }
-    return of.services.back().service;
+    return matched.services.back().service;
 }
 
 }  // namespace caraway::routing
--- a/src/libcaraway/routing/route_table.hpp
+++ b/src/libcaraway/routing/route_table.hpp
@@ -8,8 +8,8 @@
 namespace caraway::routing
 {
 
-/// Finds what the accepted configuration says of a request: its route and its workspace. Immutable;
-/// requests in flight keep the one that they were admitted by.
+/// Looks up routes, workspaces and services in an accepted configuration. Immutable: requests in
+/// flight keep the table that was current when they were admitted.
 class route_table
 {
 public:
@@ -20,15 +20,17 @@
         return accepted_;
     }
 
-    /// The route of that host (any case, a port is ignored) with the longest prefix that begins
-    /// the target's path; null if there is none.
+    /// The host's route with the longest prefix that matches the target's path; null if there is
+    /// none. The host is compared without regard to case and port.
     const route* find_route(std::string_view host, std::string_view target) const;
-    /// The workspace that holds the key; null if none does.
+    /// The workspace that the key belongs to; null if there is none.
     const workspace* find_workspace(std::string_view key) const;
+    /// Null if there is no such service.
     const service* find_service(const base::service_id& id) const;
 
-    /// The service for a request, by the route's weights; `draw` is uniform in [0, 1).
-    static const base::service_id& pick_service(const route& of, double draw);
+    /// Picks one of the route's services in proportion to their weights. `random_unit` is uniform
+    /// in [0, 1). The route must have a service.
+    static const base::service_id& pick_service(const route& matched, double random_unit);
 
 private:
     configuration accepted_;
