--- a/src/libcaraway/router/daemon_peers.cpp
+++ b/src/libcaraway/router/daemon_peers.cpp
@@ -1,5 +1,5 @@
-// What a router tells its peers and hears from them: digests, copies of the platform's tables, and
-// who of a zone asks the store.
+// Communication with peers: digests, copies of the platform's tables, and the choice of the routers
+// of a zone that read the tables from the store.
 #include "libcaraway/router/daemon.hpp"
 
 namespace caraway::router
@@ -10,15 +10,15 @@
 
 using std::chrono::milliseconds;
 
-/// How often a peer is asked while this router can't reach the store.
-constexpr milliseconds ask_period{300};
-/// How fast engines read changes within seconds.
-constexpr milliseconds readings_period{1000};
-/// How old a copy for peers may be that says the same of configuration and upstreams: the routers
-/// in it, and up to where it is current.
+/// Time between two requests for a copy of the tables while this router needs one.
+constexpr milliseconds table_request_period{300};
+/// How often prefill speeds are part of a digest; they change within seconds.
+constexpr milliseconds prefill_records_period{1000};
+/// Maximum age of an encoded copy that is reused while configuration and upstreams are unchanged.
+/// The copy's list of routers and its revision may be outdated by that much.
 constexpr milliseconds copy_lifetime{200};
-/// A refused request is told of in so many digests, as datagrams get lost.
-constexpr int told_digests = 2;
+/// Number of digests that report a rejected request, as datagrams get lost.
+constexpr int digests_per_rejection = 2;
 
 }  // namespace
 
@@ -28,7 +28,7 @@
     {
         return;
     }
-    next_table_request_ = now + ask_period;
+    next_table_request_ = now + table_request_period;
     if (const auto peer = peer_to_ask(now))
     {
         link_.request_copy(*peer);
@@ -45,12 +45,13 @@
     {
         return newer->control;
     }
-    if (const auto source = upstreams_->is_paused() ? relay_.source(now) : std::nullopt)
+    if (const auto peer = upstreams_->is_paused() ? relay_.source(now) : std::nullopt)
     {
-        return peers_.all().at(*source).control;
+        return peers_.all().at(*peer).control;
     }
-    const bool lost = upstreams_->store_unreachable() || configurations_->store_unreachable();
-    if (!lost && knows_all())
+    const bool store_unreachable =
+        upstreams_->store_unreachable() || configurations_->store_unreachable();
+    if (!store_unreachable && knows_all())
     {
         return std::nullopt;
     }
@@ -58,8 +59,8 @@
     {
         return fresh->control;
     }
-    // Nobody that reaches the store is heard: a new VM that the store turns away knows no peer, and
-    // no peer knows it, until a router named in the settings tells of both.
+    // No reachable peer has fresh tables. A new VM that the store rejects knows no peers, and no
+    // peer knows the VM, until a seed has told each of the other.
     const auto& seeds = core_.options.seeds;
     if (seeds.empty())
     {
@@ -82,17 +83,18 @@
         relay_.note_lost(now);
     }
     relay_.set_leaving_notice(core_.options.leaving_notice);
-    const auto own = tables();
-    relay_.set_own(core_.options.capacity, own, knows_all(), now);
-    announce_changes(own.mark);
-    const bool follows = relay_.follows(now);
-    choose_configuration_source(follows);
-    if (follows != upstreams_->is_paused())
+    const auto own_state = tables();
+    relay_.set_own(core_.options.capacity, own_state, knows_all(), now);
+    announce_changes(own_state.mark);
+    const bool polls_store = relay_.follows(now);
+    choose_configuration_source(polls_store);
+    if (polls_store != upstreams_->is_paused())
     {
         return;
     }
-    core_.log.line("store_source", {{"asks_store", follows}, {"revision", upstreams_->revision()}});
-    if (follows)
+    core_.log.line("store_source",
+                   {{"asks_store", polls_store}, {"revision", upstreams_->revision()}});
+    if (polls_store)
     {
         upstreams_->resume();
     }
@@ -103,11 +105,12 @@
     set_shares_of_limits();
 }
 
-/// A router in a flood takes seconds to ask a peer: four turns of its loop. The store holds a call
-/// and answers it at once when the configuration changes.
-void daemon::choose_configuration_source(bool asks)
+/// An overloaded router needs seconds to request a copy from a peer, which takes four iterations of
+/// its event loop. The store holds a call open and answers it as soon as the configuration changes,
+/// so an overloaded router always calls the store.
+void daemon::choose_configuration_source(bool polls_store)
 {
-    if (asks || core_.overload.busy())
+    if (polls_store || core_.overload.busy())
     {
         configurations_->resume();
     }
@@ -128,9 +131,9 @@
 
 void daemon::announce_changes(std::uint64_t mark)
 {
-    const bool tells = !upstreams_->is_paused() && mark != announced_mark_;
+    const bool changed = !upstreams_->is_paused() && mark != announced_mark_;
     announced_mark_ = mark;
-    if (tells)
+    if (changed)
     {
         link_.send_zone_digests();
     }
@@ -165,11 +168,11 @@
     {
         peers_.add_discovered(each, core_.now());
     }
-    const bool resting = upstreams_->is_paused();
-    const bool newer = resting && copy.state.revision >= upstreams_->revision();
+    const bool paused = upstreams_->is_paused();
+    const bool newer = paused && copy.state.revision >= upstreams_->revision();
     const bool needed = newer || upstreams_->store_unreachable() || !upstreams_->has_read();
-    const bool tells = copy.partial || !copy.upstreams.empty();
-    if (!needed || !tells)
+    const bool has_upstreams = copy.partial || !copy.upstreams.empty();
+    if (!needed || !has_upstreams)
     {
         return false;
     }
@@ -178,40 +181,41 @@
                                  {"own_revision", upstreams_->revision()},
                                  {"partial", copy.partial},
                                  {"upstreams", copy.upstreams.size()}});
-    const auto whole_at = copy.partial ? std::nullopt : std::optional(copy.state.revision);
-    take_upstreams(copy.upstreams, whole_at, copy.sender.str());
-    const bool same = core_.directory.mark() == copy.state.mark;
-    if (copy.partial && !same)
+    const auto listing_revision = copy.partial ? std::nullopt : std::optional(copy.state.revision);
+    take_upstreams(copy.upstreams, listing_revision, copy.sender.str());
+    const bool upstreams_equal = core_.directory.mark() == copy.state.mark;
+    if (copy.partial && !upstreams_equal)
     {
-        // Not taken for a copy of it: the next one is whole.
+        // The copy is not recorded as one of the peer's tables, so the next copy is a full one.
         return false;
     }
-    if (resting)
+    if (paused)
     {
         upstreams_->adopt(copy.state.revision);
         relay_.note_copied(copy.sender, copy.state, core_.now());
     }
-    return same;
+    return upstreams_equal;
 }
 
-/// Some hundred peers ask within a second, at a start or for a new configuration; building the
-/// text for each would take a small VM's processor. Who has the same mark holds the same upstreams.
+/// About a hundred peers request a copy within a second when a fleet starts or the configuration
+/// changes; encoding it for each of them would saturate a small VM's processor. The encoded copy is
+/// reused while the mark stays the same, as equal marks mean equal upstreams.
 const std::string& daemon::encoded_copy(base::config_version peer_has)
 {
     const auto now = core_.now();
     const auto mark = core_.directory.mark();
-    auto& told =
+    auto& cached =
         peer_has < core_.version() ? copy_with_configuration_ : copy_without_configuration_;
-    const bool current = told.version == core_.version() && told.mark == mark &&
-                         now - told.made < copy_lifetime && !told.text.empty();
+    const bool current = cached.version == core_.version() && cached.mark == mark &&
+                         now - cached.made < copy_lifetime && !cached.text.empty();
     if (!current)
     {
-        told = {.text = encode(make_copy(peer_has)),
-                .version = core_.version(),
-                .mark = mark,
-                .made = now};
+        cached = {.text = encode(make_copy(peer_has)),
+                  .version = core_.version(),
+                  .mark = mark,
+                  .made = now};
     }
-    return told.text;
+    return cached.text;
 }
 
 table_copy daemon::begin_copy(base::config_version peer_has) const
@@ -248,9 +252,9 @@
     }
     for (const auto& id : *changed)
     {
-        const auto known = upstream_rows_.find(id.str());
-        const bool listed = core_.directory.find(id) != nullptr && known != upstream_rows_.end();
-        copy.upstreams.push_back(listed ? known->second
+        const auto stored = upstream_rows_.find(id.str());
+        const bool listed = core_.directory.find(id) != nullptr && stored != upstream_rows_.end();
+        copy.upstreams.push_back(listed ? stored->second
                                         : row{.key = id.str(),
                                               .removed = true,
                                               .revision = core_.directory.revision_of(id)});
@@ -261,8 +265,9 @@
 table_copy daemon::make_copy(base::config_version peer_has) const
 {
     auto copy = begin_copy(peer_has);
-    // What the directory believes, not what the store lists: around an outage entries lapse there
-    // that this router still holds, and a peer takes the copy for the whole truth.
+    // Contains the upstreams in the directory rather than those listed by the store: around an
+    // outage, entries that this router still holds expire in the store, and the peer treats the
+    // copy as complete.
     for (const auto& [key, each] : upstream_rows_)
     {
         if (core_.directory.find(base::upstream_id(key)) != nullptr)
@@ -276,56 +281,56 @@
 
 std::vector<routing::peer> daemon::known_routers() const
 {
-    std::vector<routing::peer> out;
+    std::vector<routing::peer> routers;
     for (const auto& [id, each] : peers_.all())
     {
-        out.push_back(each);
+        routers.push_back(each);
     }
-    out.push_back(self());
-    return out;
+    routers.push_back(self());
+    return routers;
 }
 
 routing::digest daemon::identity() const
 {
-    const auto& at = core_.options;
-    return {.sender = at.name,
+    const auto& options = core_.options;
+    return {.sender = options.name,
             .incarnation = incarnation_,
-            .zone = at.zone,
-            .callers = at.callers,
-            .control = at.control,
-            .datagrams = at.datagrams};
+            .zone = options.zone,
+            .callers = options.callers,
+            .control = options.control,
+            .datagrams = options.datagrams};
 }
 
 routing::digest daemon::presence() const
 {
-    auto out = identity();
-    out.ready = ready();
-    out.capacity = core_.options.capacity;
-    out.request_rate = request_rate_;
-    return out;
+    auto digest = identity();
+    digest.ready = ready();
+    digest.capacity = core_.options.capacity;
+    digest.request_rate = request_rate_;
+    return digest;
 }
 
 routing::digest daemon::make_digest()
 {
     const auto now = core_.now();
-    auto out = presence();
-    out.sequence = ++digests_;
-    out.version = core_.version();
-    out.tables_fresh_for = std::chrono::duration_cast<milliseconds>(upstreams_->fresh_for(now));
-    out.loads = core_.board.own();
-    out.usages = core_.shares.own(now);
-    out.suspects = core_.crashes.entries(now);
-    out.refused = core_.refused.told(told_digests * peers_.digest_period(), now);
+    auto digest = presence();
+    digest.sequence = ++digests_;
+    digest.version = core_.version();
+    digest.tables_fresh_for = std::chrono::duration_cast<milliseconds>(upstreams_->fresh_for(now));
+    digest.loads = core_.board.own();
+    digest.usages = core_.shares.own(now);
+    digest.suspects = core_.crashes.entries(now);
+    digest.refused = core_.refused.told(digests_per_rejection * peers_.digest_period(), now);
     if (now >= next_prefill_records_)
     {
-        next_prefill_records_ = now + readings_period;
+        next_prefill_records_ = now + prefill_records_period;
         core_.pace.refresh(now);
-        out.prefill_records = core_.pace.own(now);
+        digest.prefill_records = core_.pace.own(now);
     }
-    out.leaving = core_.directory.leaving(now);
-    out.zones = core_.directory.zones().statements();
-    out.tables = tables();
-    return out;
+    digest.leaving = core_.directory.leaving(now);
+    digest.zones = core_.directory.zones().statements();
+    digest.tables = tables();
+    return digest;
 }
 
 routing::peer daemon::self() const
--- a/src/libcaraway/router/peer_link.cpp
+++ b/src/libcaraway/router/peer_link.cpp
@@ -8,41 +8,43 @@
 namespace
 {
 
-/// In a fleet each router hears several digests in this time; longer without one means that the
-/// loop is late, or that there is nobody, and then asking costs a system call at that pace.
-constexpr std::chrono::milliseconds longest_unheard{200};
+/// Time without a read of the socket after which `receive_pending` reads it. In a fleet each router
+/// receives several digests in this time, so a longer gap means that the event loop is late.
+/// Without peers, the check costs one system call per such interval.
+constexpr std::chrono::milliseconds max_receive_gap{200};
 
-/// More than come within a second to a router of the largest fleets (160); a bound, so that a flood
-/// of datagrams doesn't keep the loop from all else.
-constexpr std::size_t heard_at_a_time = 256;
+/// Bound on the datagrams processed at once, so that a flood of them doesn't starve the event loop.
+/// More than a router of the largest fleets receives within a second (160).
+constexpr std::size_t max_datagrams_at_once = 256;
 
-/// A peer's answer is in memory; a router that takes longer is in trouble itself.
-constexpr std::chrono::milliseconds ask_timeout{500};
+/// A peer answers from memory; one that takes longer is overloaded or failing.
+constexpr std::chrono::milliseconds copy_timeout{500};
 
 }  // namespace
 
-peer_link::peer_link(core& shared, routing::peer_table& peers, routing::table_relay& relay,
-                     digest_source make_digest, copy_handler take_copy)
-    : core_(shared), peers_(peers), relay_(relay), make_digest_(std::move(make_digest)),
-      take_copy_(std::move(take_copy)), socket_(shared.loop), caller_(shared.loop, shared.timers)
+peer_link::peer_link(core& router_core, routing::peer_table& peers, routing::table_relay& relay,
+                     digest_source make_digest, copy_handler handle_copy)
+    : core_(router_core), peers_(peers), relay_(relay), make_digest_(std::move(make_digest)),
+      handle_copy_(std::move(handle_copy)), socket_(router_core.loop),
+      caller_(router_core.loop, router_core.timers)
 {
 }
 
-base::result<void> peer_link::open(routing::endpoint& at)
+base::result<void> peer_link::open(routing::endpoint& local)
 {
     boost::system::error_code error;
-    const auto ip = boost::asio::ip::make_address(at.ip, error);
-    const udp::endpoint local(ip, at.port);
-    socket_.open(local.protocol(), error);
-    socket_.bind(local, error);
+    const auto ip = boost::asio::ip::make_address(local.ip, error);
+    const udp::endpoint bound(ip, local.port);
+    socket_.open(bound.protocol(), error);
+    socket_.bind(bound, error);
     socket_.non_blocking(true, error);
     if (error)
     {
-        return base::make_error(base::errc::unavailable, "Can't receive datagrams at " + at.ip +
-                                                             ":" + std::to_string(at.port) + ": " +
-                                                             error.message() + ".");
+        return base::make_error(base::errc::unavailable, "Can't receive datagrams at " + local.ip +
+                                                             ":" + std::to_string(local.port) +
+                                                             ": " + error.message() + ".");
     }
-    at.port = socket_.local_endpoint(error).port();
+    local.port = socket_.local_endpoint(error).port();
     receive();
     return base::success();
 }
@@ -57,43 +59,43 @@
     send(peers_.reachable_in_zone(core_.now()));
 }
 
-void peer_link::send(const std::vector<routing::endpoint>& to)
+void peer_link::send(const std::vector<routing::endpoint>& receivers)
 {
-    if (to.empty())
+    if (receivers.empty())
     {
         return;
     }
     const auto bytes = routing::encode(make_digest_());
-    for (const auto& each : to)
+    for (const auto& each : receivers)
     {
         boost::system::error_code error;
         const auto ip = boost::asio::ip::make_address(each.ip, error);
-        // A digest that can't be sent now is replaced by the next.
+        // Errors are ignored: the next digest replaces one that can't be sent now.
         socket_.send_to(boost::asio::buffer(bytes), udp::endpoint(ip, each.port), 0, error);
     }
 }
 
-bool peer_link::request_copy(const routing::endpoint& from, bool routers)
+bool peer_link::request_copy(const routing::endpoint& peer, bool with_routers)
 {
     if (caller_.busy())
     {
         return false;
     }
     auto target = "/tables?have=" + std::to_string(static_cast<std::uint64_t>(core_.version()));
-    const auto known = copied_.find({from.ip, from.port});
-    if (known != copied_.end())
+    const auto known = copy_positions_.find({peer.ip, peer.port});
+    if (known != copy_positions_.end())
     {
         target += "&life=" + std::to_string(known->second.incarnation) +
                   "&since=" + std::to_string(known->second.changes);
     }
-    target += routers ? "&routers=1" : "";
-    caller_.call(from, http::get_request(from, target), ask_timeout,
-                 [this, from](const base::result<http::whole_answer>& result)
-                 { on_copy(from, result); });
+    target += with_routers ? "&routers=1" : "";
+    caller_.call(peer, http::get_request(peer, target), copy_timeout,
+                 [this, peer](const base::result<http::whole_answer>& result)
+                 { on_copy(peer, result); });
     return true;
 }
 
-void peer_link::on_copy(const routing::endpoint& from,
+void peer_link::on_copy(const routing::endpoint& peer,
                         const base::result<http::whole_answer>& result)
 {
     unanswered_ = result ? 0 : unanswered_ + 1;
@@ -105,34 +107,34 @@
     if (!copy)
     {
         core_.log.line("peer_copy_unreadable",
-                       {{"peer", from.ip}, {"because", copy.error().message}});
+                       {{"peer", peer.ip}, {"because", copy.error().message}});
         return;
     }
-    const std::pair key(from.ip, from.port);
-    if (take_copy_(copy.value()))
+    const std::pair key(peer.ip, peer.port);
+    if (handle_copy_(copy.value()))
     {
-        copied_[key] = copy.value().position;
+        copy_positions_[key] = copy.value().position;
     }
     else
     {
-        copied_.erase(key);
+        copy_positions_.erase(key);
     }
 }
 
 void peer_link::receive_pending()
 {
-    if (core_.now() - last_heard_ >= longest_unheard)
+    if (core_.now() - last_receive_ >= max_receive_gap)
     {
-        hear_all();
+        receive_all();
     }
 }
 
-void peer_link::hear_all()
+void peer_link::receive_all()
 {
-    last_heard_ = core_.now();
+    last_receive_ = core_.now();
     udp::endpoint sender;
     boost::system::error_code error;
-    for (std::size_t count = 0; count < heard_at_a_time; ++count)
+    for (std::size_t count = 0; count < max_datagrams_at_once; ++count)
     {
         const auto size = socket_.receive_from(boost::asio::buffer(buffer_), sender, 0, error);
         if (error)
@@ -153,53 +155,54 @@
                                {
                                    return;
                                }
-                               hear_all();
+                               receive_all();
                                receive();
                            }));
 }
 
 void peer_link::on_digest(std::string_view bytes)
 {
-    auto received = routing::decode(bytes);
-    if (!received)
+    auto decoded = routing::decode(bytes);
+    if (!decoded)
     {
-        core_.log.line("digest_unreadable", {{"because", received.error().message}});
+        core_.log.line("digest_unreadable", {{"because", decoded.error().message}});
         return;
     }
-    ++heard_;
-    auto& from = received.value();
+    ++digests_received_;
+    auto& received = decoded.value();
     const auto now = core_.now();
-    if (!peers_.record_digest(from, now))
+    if (!peers_.record_digest(received, now))
     {
         return;
     }
-    if (from.zone == core_.options.zone)
+    if (received.zone == core_.options.zone)
     {
-        relay_.heard(from.sender, from.capacity, from.tables, now);
+        relay_.heard(received.sender, received.capacity, received.tables, now);
     }
-    for (const auto& each : from.leaving)
+    for (const auto& each : received.leaving)
     {
         core_.directory.leaves(each, now);
     }
-    for (const auto& each : from.zones)
+    for (const auto& each : received.zones)
     {
-        core_.note_zone(each, from.sender.str());
+        core_.note_zone(each, received.sender.str());
     }
-    // At once: the tick that looks for what is missing comes up to its whole period later.
-    if (from.zone == core_.options.zone && from.version > core_.version())
+    // Requested at once, as the next tick that checks for missing tables may be a whole period
+    // away.
+    if (received.zone == core_.options.zone && received.version > core_.version())
     {
-        request_copy(from.control);
+        request_copy(received.control);
     }
-    core_.board.set_peer(from.sender, std::move(from.loads), now);
-    core_.shares.set_peer(from.sender, std::move(from.usages), now);
-    core_.refused.merge(from.refused, now);
-    if (!from.prefill_records.empty())
+    core_.board.set_peer(received.sender, std::move(received.loads), now);
+    core_.shares.set_peer(received.sender, std::move(received.usages), now);
+    core_.refused.merge(received.refused, now);
+    if (!received.prefill_records.empty())
     {
-        core_.pace.set_peer(from.sender, std::move(from.prefill_records), now);
+        core_.pace.set_peer(received.sender, std::move(received.prefill_records), now);
     }
-    if (!from.suspects.empty())
+    if (!received.suspects.empty())
     {
-        core_.crashes.merge(from.suspects, now);
+        core_.crashes.merge(received.suspects, now);
     }
 }
 
--- a/src/libcaraway/router/peer_link.hpp
+++ b/src/libcaraway/router/peer_link.hpp
@@ -12,65 +12,71 @@
 namespace caraway::router
 {
 
-/// Speaks with the other routers: digests by datagram, copies of the platform's tables by HTTP.
+/// Exchanges digests with the other routers by UDP, and requests copies of the platform's tables
+/// from them by HTTP.
 class peer_link
 {
 public:
-    /// Whether this router holds now what the copy told, so that the next may be partial.
+    /// Applies a received copy. Returns whether this router's upstreams are now equal to the
+    /// peer's, so that the next copy from that peer may be partial.
     using copy_handler = std::function<bool(const table_copy&)>;
     using digest_source = std::function<routing::digest()>;
 
-    peer_link(core& shared, routing::peer_table& peers, routing::table_relay& relay,
-              digest_source make_digest, copy_handler take_copy);
+    peer_link(core& router_core, routing::peer_table& peers, routing::table_relay& relay,
+              digest_source make_digest, copy_handler handle_copy);
 
-    /// Receives digests there; a port 0 becomes the one that it got.
-    base::result<void> open(routing::endpoint& at);
+    /// Starts receiving digests at `local`; a port of 0 is replaced by the one that was assigned.
+    /// Errors: `unavailable` if the address can't be bound.
+    base::result<void> open(routing::endpoint& local);
 
-    /// Sends digests to whom they are due.
+    /// Sends a digest to each peer that one is due to.
     void send_due_digests();
-    /// Something changed that the routers of this zone should hear of at once.
+    /// Sends a digest to all reachable peers of this zone at once, after an important change.
     void send_zone_digests();
-    /// Takes in all datagrams that wait, if none was for a while. On a small VM in a burst a turn
-    /// of the loop takes a second and more; a request that was placed in it went to an upstream
-    /// that had left 3 to 4 s before, though the word of it lay here.
+    /// Processes all pending datagrams unless the socket was read recently. On a small VM under a
+    /// burst of load, one iteration of the event loop takes more than a second; a request placed
+    /// during it went to an upstream that had left 3 to 4 s before, while the digest that reported
+    /// this was waiting in the socket.
     void receive_pending();
-    /// Asks for a copy of the tables unless a question is under way; whether it did. Of
-    /// upstreams that were copied from there before only the changes are told; `routers` if those
-    /// that the peer knows are wanted besides.
-    bool request_copy(const routing::endpoint& from, bool routers = false);
-    /// Questions in a row that got no answer.
+    /// Requests a copy of the tables from the peer with this control address. Returns false, and
+    /// does nothing, while another request is in flight. If the peer's upstreams were copied
+    /// before, only the changes since then are requested. `with_routers` requests the peer's list
+    /// of routers even in a partial copy.
+    bool request_copy(const routing::endpoint& peer, bool with_routers = false);
+    /// Number of consecutive requests that failed.
     std::size_t unanswered() const
     {
         return unanswered_;
     }
-    /// Digests taken in, ever.
+    /// Number of digests received since the process started.
     std::uint64_t digests_received() const
     {
-        return heard_;
+        return digests_received_;
     }
 
 private:
     using udp = boost::asio::ip::udp;
 
-    void send(const std::vector<routing::endpoint>& to);
+    void send(const std::vector<routing::endpoint>& receivers);
     void receive();
-    /// Takes in all that waits. With one datagram a turn, the newest waited longest: behind some
-    /// hundred others on a VM whose turns take tens of milliseconds.
-    void hear_all();
+    /// Processes all pending datagrams. With one datagram per iteration of the event loop, the
+    /// newest would wait behind about a hundred others on a VM whose iterations take tens of
+    /// milliseconds.
+    void receive_all();
     void on_digest(std::string_view bytes);
-    void on_copy(const routing::endpoint& from, const base::result<http::whole_answer>& result);
+    void on_copy(const routing::endpoint& peer, const base::result<http::whole_answer>& result);
 
     core& core_;
     routing::peer_table& peers_;
     routing::table_relay& relay_;
     digest_source make_digest_;
-    copy_handler take_copy_;
-    /// What this router holds of each peer's tables, by where it asks the peer.
-    std::map<std::pair<std::string, std::uint16_t>, copy_position> copied_;
+    copy_handler handle_copy_;
+    /// Position of the last copy applied from each peer, by the peer's control address.
+    std::map<std::pair<std::string, std::uint16_t>, copy_position> copy_positions_;
     udp::socket socket_;
-    base::time_point last_heard_{};
+    base::time_point last_receive_{};
     std::size_t unanswered_ = 0;
-    std::uint64_t heard_ = 0;
+    std::uint64_t digests_received_ = 0;
     std::array<char, 65536> buffer_{};
     http::whole_caller caller_;
     http::owner_token owner_;
--- a/src/libcaraway/router/settings.hpp
+++ b/src/libcaraway/router/settings.hpp
@@ -14,37 +14,38 @@
 namespace caraway::router
 {
 
-/// What a router is told at its start. A port 0 means any that is free.
+/// Settings of a router. A port of 0 means any free port.
 struct settings
 {
     base::node_id name;
     base::zone_id zone;
-    /// All availability zones of the deployment; empty: not told.
+    /// All availability zones of the deployment; empty if not configured.
     std::set<base::zone_id> zones;
     routing::endpoint callers;
     routing::endpoint readiness;
     routing::endpoint control;
     routing::endpoint directory;
-    /// Without an address, metrics are served at the control address alone.
+    /// Additional address for metrics; if empty, metrics are served only at the control address.
     routing::endpoint metrics;
     routing::endpoint datagrams;
     routing::endpoint store;
-    /// Control addresses of some routers; they may be old.
+    /// Control addresses of some routers, for discovery; they may be outdated.
     std::vector<routing::endpoint> seeds;
     routing::retry_options retries;
     std::chrono::milliseconds share_window{4000};
-    /// From SIGTERM to SIGKILL.
+    /// Time between SIGTERM and SIGKILL.
     std::chrono::milliseconds grace{8000};
-    /// How long an upstream that leaves goes on serving: within this a router must know of it.
+    /// How long an upstream that is leaving continues to serve requests; all routers must know
+    /// within this time that the upstream leaves.
     std::chrono::milliseconds leaving_notice{2000};
-    /// How long callers keep a list of routers, and the longest that some keep it.
+    /// Maximum time that callers cache a list of entry points.
     std::chrono::seconds entry_lifetime{1};
     std::size_t max_descriptors = 4096;
     /// Processor time of the VM, in cores.
     double capacity = 1;
 };
 
-/// Reads the settings anew, from wherever they came at the start.
+/// Reads the settings again from their original source.
 using settings_source = std::function<base::result<settings>()>;
 
 }  // namespace caraway::router
--- a/src/libcaraway/router/settings_change.hpp
+++ b/src/libcaraway/router/settings_change.hpp
@@ -8,12 +8,13 @@
 namespace caraway::router
 {
 
-/// What a changed settings file changed.
+/// Result of applying changed settings to a running process.
 struct settings_change
 {
-    /// Names of settings that are in force as of now.
+    /// Names of the settings that were applied.
     std::vector<std::string> applied;
-    /// Names of those that a process keeps for its life: who it is and where it listens.
+    /// Names of the changed settings that need a restart: the router's identity, its listening
+    /// addresses and the number of file descriptors.
     std::vector<std::string> need_restart;
 
     bool any() const
@@ -22,8 +23,8 @@
     }
 };
 
-/// Takes over into `current` what may change while the process runs. A port that was given as 0 is
-/// no change: `current` holds the one that it became.
+/// Copies into `current` the settings that may change while the process runs. A port of 0 in `next`
+/// does not count as a change, as `current` holds the port that was assigned.
 settings_change apply_settings(settings& current, const settings& next);
 
 }  // namespace caraway::router
--- a/src/libcaraway/router/table_copy.cpp
+++ b/src/libcaraway/router/table_copy.cpp
@@ -46,25 +46,26 @@
 {
     try
     {
-        const auto from = json::parse(text);
+        const auto object = json::parse(text);
         table_copy copy{
-            .sender = base::node_id(from.at("from").get<std::string>()),
-            .position = {.incarnation = from.at("life").get<std::uint64_t>(),
-                         .changes = from.at("changes").get<std::uint64_t>()},
-            .configuration = from.at("configuration").get<std::string>(),
-            .version = base::config_version{from.at("configuration_version").get<std::uint64_t>()},
-            .partial = from.at("partial").get<bool>(),
-            .state = {.revision = from.at("revision").get<std::uint64_t>(),
-                      .mark = from.at("mark").get<std::uint64_t>()},
-            .zones = routing::parse_zone_updates(from.at("zones"))};
-        for (const auto& each : from.at("upstreams"))
+            .sender = base::node_id(object.at("from").get<std::string>()),
+            .position = {.incarnation = object.at("life").get<std::uint64_t>(),
+                         .changes = object.at("changes").get<std::uint64_t>()},
+            .configuration = object.at("configuration").get<std::string>(),
+            .version =
+                base::config_version{object.at("configuration_version").get<std::uint64_t>()},
+            .partial = object.at("partial").get<bool>(),
+            .state = {.revision = object.at("revision").get<std::uint64_t>(),
+                      .mark = object.at("mark").get<std::uint64_t>()},
+            .zones = routing::parse_zone_updates(object.at("zones"))};
+        for (const auto& each : object.at("upstreams"))
         {
             copy.upstreams.push_back({.key = each.at(0).get<std::string>(),
                                       .value = each.at(1).get<std::string>(),
                                       .removed = each.at(3).get<bool>(),
                                       .revision = each.at(2).get<std::uint64_t>()});
         }
-        for (const auto& each : from.at("routers"))
+        for (const auto& each : object.at("routers"))
         {
             copy.routers.push_back({.id = base::node_id(each.at(0).get<std::string>()),
                                     .incarnation = each.at(1).get<std::uint64_t>(),
@@ -75,9 +76,9 @@
         }
         return copy;
     }
-    catch (const json::exception& wrong)
+    catch (const json::exception& parse_error)
     {
-        return base::make_error(base::errc::corrupt, wrong.what());
+        return base::make_error(base::errc::corrupt, parse_error.what());
     }
 }
 
--- a/src/libcaraway/router/table_sync.cpp
+++ b/src/libcaraway/router/table_sync.cpp
@@ -4,9 +4,9 @@
 {
 
 table_sync::table_sync(std::string name, http::timer_queue& timers, telemetry::line_log& log,
-                       table_port port, routing::follower_options options, events on)
+                       table_port port, routing::follower_options options, events handlers)
     : name_(std::move(name)), timers_(timers), log_(log), port_(std::move(port)),
-      follower_(options), on_(std::move(on))
+      follower_(options), events_(std::move(handlers))
 {
 }
 
@@ -17,27 +17,27 @@
 
 void table_sync::pause()
 {
-    if (resting_)
+    if (paused_)
     {
         return;
     }
-    resting_ = true;
+    paused_ = true;
     if (follower_.lost())
     {
         follower_.answered(follower_.revision(), timers_.now());
-        on_.recovered();
+        events_.recovered();
     }
 }
 
 void table_sync::resume()
 {
-    if (!resting_)
+    if (!paused_)
     {
         return;
     }
-    resting_ = false;
+    paused_ = false;
     fresh_since_ = timers_.now();
-    if (!pending_)
+    if (!call_pending_)
     {
         schedule();
     }
@@ -50,8 +50,8 @@
 
 void table_sync::schedule()
 {
-    pending_ = !resting_;
-    if (resting_)
+    call_pending_ = !paused_;
+    if (paused_)
     {
         return;
     }
@@ -60,9 +60,9 @@
 
 void table_sync::call()
 {
-    if (resting_)
+    if (paused_)
     {
-        pending_ = false;
+        call_pending_ = false;
         return;
     }
     const auto next = follower_.next(timers_.now());
@@ -75,19 +75,19 @@
                  [this](auto result) { on_answer(false, std::move(result)); });
 }
 
-void table_sync::on_answer(bool whole, base::result<rows_answer> result)
+void table_sync::on_answer(bool full_read, base::result<rows_answer> result)
 {
-    // Of a call from before the rest: peers are believed now, and a failure that counted as an
-    // outage would never end.
-    if (resting_)
+    // The call was made before the pause. Updates come from peers now, and a failure recorded here
+    // would count as an outage that never ends.
+    if (paused_)
     {
-        pending_ = false;
+        call_pending_ = false;
         return;
     }
     const auto now = timers_.now();
     if (!result)
     {
-        note_failure(result.error());
+        record_failure(result.error());
         schedule();
         return;
     }
@@ -108,20 +108,20 @@
     if (was_lost)
     {
         log_.line("store_back", {{"table", name_}, {"revision", follower_.revision()}});
-        on_.recovered();
+        events_.recovered();
     }
-    if (whole)
+    if (full_read)
     {
-        on_.all(result.value());
+        events_.all(result.value());
     }
     else if (!result.value().rows.empty())
     {
-        on_.changed(result.value().rows);
+        events_.changed(result.value().rows);
     }
     schedule();
 }
 
-void table_sync::note_failure(const base::error& why)
+void table_sync::record_failure(const base::error& failure)
 {
     const bool was_lost = follower_.lost();
     follower_.failed(timers_.now());
@@ -130,8 +130,8 @@
         return;
     }
     log_.line("store_lost",
-              {{"table", name_}, {"because", why.message}, {"revision", follower_.revision()}});
-    on_.unreachable();
+              {{"table", name_}, {"because", failure.message}, {"revision", follower_.revision()}});
+    events_.unreachable();
 }
 
 }  // namespace caraway::router
--- a/src/libcaraway/router/table_sync.hpp
+++ b/src/libcaraway/router/table_sync.hpp
@@ -8,24 +8,26 @@
 namespace caraway::router
 {
 
-/// Keeps one table of the platform's store followed: makes the calls that the follower wants and
-/// hands on what they bring.
+/// Keeps a copy of one table of the platform's store current: makes the calls that `row_follower`
+/// asks for and reports their results as events.
 class table_sync
 {
 public:
     struct events
     {
-        /// The whole table. Its revision may be older than the one followed from: a peer's newer
-        /// copy may have been taken over meanwhile.
+        /// The whole table was read. Its revision may be older than the current one if a peer's
+        /// newer copy was adopted meanwhile.
         std::function<void(const rows_answer&)> all;
-        /// Rows that changed, in order.
+        /// Rows that changed, in the order of their changes.
         std::function<void(const std::vector<row>&)> changed;
+        /// A call failed while the store was considered reachable.
         std::function<void()> unreachable;
+        /// The store is reachable again, or calls were paused during an outage.
         std::function<void()> recovered;
     };
 
     table_sync(std::string name, http::timer_queue& timers, telemetry::line_log& log,
-               table_port port, routing::follower_options options, events on);
+               table_port port, routing::follower_options options, events handlers);
 
     void start();
     void set_pace(std::chrono::milliseconds gap, std::chrono::milliseconds hold)
@@ -36,17 +38,17 @@
     {
         follower_.set_longest_pause(max_backoff);
     }
-    /// Makes no more calls: peers tell what changes. What was lost counts as back.
+    /// Stops making calls; peers provide the changes. An unreachable store counts as recovered.
     void pause();
-    /// Makes calls again, from the revision that was told last.
+    /// Makes calls again, starting at the latest known revision.
     void resume();
     bool is_paused() const
     {
-        return resting_;
+        return paused_;
     }
-    /// A peer's copy was taken over, current up to that revision.
+    /// Records that a peer's copy, current up to this revision, was applied.
     void adopt(std::uint64_t revision);
-    /// Answers of the store so far.
+    /// Number of successful answers from the store so far.
     std::uint64_t answers() const
     {
         return answers_;
@@ -63,30 +65,30 @@
     {
         return follower_.has_read();
     }
-    /// How long the copy has been fresh without a break; 0 if it isn't.
+    /// How long the copy has been fresh without interruption; 0 if the copy is stale.
     base::duration fresh_for(base::time_point now) const
     {
-        return resting_ || store_unreachable() || !has_read() ? base::duration::zero()
-                                                              : now - fresh_since_;
+        return paused_ || store_unreachable() || !has_read() ? base::duration::zero()
+                                                             : now - fresh_since_;
     }
 
 private:
     void call();
     void schedule();
-    void on_answer(bool whole, base::result<rows_answer> result);
-    void note_failure(const base::error& why);
+    void on_answer(bool full_read, base::result<rows_answer> result);
+    void record_failure(const base::error& failure);
 
     std::string name_;
     http::timer_queue& timers_;
     telemetry::line_log& log_;
     table_port port_;
     routing::row_follower follower_;
-    events on_;
+    events events_;
     base::time_point fresh_since_{};
     std::uint64_t answers_ = 0;
-    bool resting_ = false;
-    /// A call is under way, or a timer is set for the next.
-    bool pending_ = false;
+    bool paused_ = false;
+    /// A call is in flight, or a timer is set for the next.
+    bool call_pending_ = false;
 };
 
 }  // namespace caraway::router
