--- a/tests/routing/test_route_table.cpp
+++ b/tests/routing/test_route_table.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-configuration sample()
+configuration sample_configuration()
 {
     return {.routes = {{.name = "short", .host = "a.example", .prefix = "/x/"},
                        {.name = "long", .host = "a.example", .prefix = "/x/y/"},
@@ -21,42 +21,42 @@
 
 BOOST_AUTO_TEST_SUITE(route_tables)
 
-BOOST_AUTO_TEST_CASE(the_longest_prefix_of_the_host_wins)
+BOOST_AUTO_TEST_CASE(the_hosts_longest_matching_prefix_is_chosen)
 {
-    const route_table table(sample());
+    const route_table table(sample_configuration());
 
     BOOST_TEST(table.find_route("a.example", "/x/y/z")->name == "long");
     BOOST_TEST(table.find_route("a.example", "/x/yz")->name == "short");
     BOOST_TEST(table.find_route("b.example", "/x/y/")->name == "other");
 }
 
-BOOST_AUTO_TEST_CASE(the_host_is_matched_in_any_case_and_without_its_port)
+BOOST_AUTO_TEST_CASE(the_host_is_matched_without_regard_to_case_and_port)
 {
-    const route_table table(sample());
+    const route_table table(sample_configuration());
 
     BOOST_TEST(table.find_route("A.Example:8080", "/x/")->name == "short");
 }
 
-BOOST_AUTO_TEST_CASE(a_query_is_no_part_of_the_path)
+BOOST_AUTO_TEST_CASE(the_query_is_not_part_of_the_path)
 {
-    const route_table table(sample());
+    const route_table table(sample_configuration());
 
     BOOST_TEST(table.find_route("a.example", "/x/?to=/x/y/")->name == "short");
     BOOST_TEST(table.find_route("a.example", "/z?/x/") == nullptr);
 }
 
-BOOST_AUTO_TEST_CASE(what_no_prefix_begins_has_no_route)
+BOOST_AUTO_TEST_CASE(a_target_without_matching_prefix_has_no_route)
 {
-    const route_table table(sample());
+    const route_table table(sample_configuration());
 
     BOOST_TEST(table.find_route("a.example", "/x") == nullptr);
     BOOST_TEST(table.find_route("c.example", "/x/") == nullptr);
     BOOST_TEST(table.find_route("a.example", "") == nullptr);
 }
 
-BOOST_AUTO_TEST_CASE(each_key_finds_its_workspace)
+BOOST_AUTO_TEST_CASE(a_workspace_is_found_by_each_of_its_keys)
 {
-    const route_table table(sample());
+    const route_table table(sample_configuration());
 
     BOOST_TEST(table.find_workspace("k2")->id.str() == "north");
     BOOST_TEST(table.find_workspace("k3") == nullptr);
