--- a/src/libcaraway/router/daemon_peers.cpp
+++ b/src/libcaraway/router/daemon_peers.cpp
@@ -59,8 +59,8 @@
     {
         return fresh->control;
     }
-    // No reachable peer has fresh tables. A new VM that the store rejects knows no peers, and no
-    // peer knows the VM, until a seed has told each of the other.
+    // No reachable peer has fresh tables. A new VM that the store rejects has no peer's address,
+    // and no peer has the address of the VM, until a seed exchanges them.
     const auto& seeds = core_.options.seeds;
     if (seeds.empty())
     {
--- a/src/libcaraway/routing/peer_table.cpp
+++ b/src/libcaraway/routing/peer_table.cpp
@@ -96,9 +96,10 @@
 void peer_table::remove_expired(base::time_point now)
 {
     std::erase_if(peers_,
-                  [&](const auto& each)
+                  [&](const auto& entry)
                   {
-                      const auto since = each.second.last_digest.value_or(each.second.known_since);
+                      const auto since =
+                          entry.second.last_digest.value_or(entry.second.known_since);
                       return since + options_.expiry <= now;
                   });
 }
@@ -139,7 +140,7 @@
     const auto candidates = entry_candidates(self, now);
     std::vector<const peer*> in_zone;
     std::copy_if(candidates.begin(), candidates.end(), std::back_inserter(in_zone),
-                 [&](const peer* each) { return each->zone == zone; });
+                 [&](const peer* candidate) { return candidate->zone == zone; });
     const bool too_few_in_zone =
         in_zone.size() < std::min(options_.min_zone_entry_points, candidates.size());
     const bool zone_overloaded =
@@ -188,7 +189,8 @@
     const auto limit = std::max(options_.overload_rate, 3 * average);
     std::vector<const peer*> kept;
     std::copy_if(routers.begin(), routers.end(), std::back_inserter(kept),
-                 [&](const peer* each) { return each->request_rate <= limit * each->capacity; });
+                 [&](const peer* router)
+                 { return router->request_rate <= limit * router->capacity; });
     if (kept.size() * 2 > routers.size())
     {
         routers = std::move(kept);
@@ -234,7 +236,7 @@
 {
     const auto other_zones =
         std::stable_partition(candidates.begin(), candidates.end(),
-                              [&](const peer* each) { return each->zone == zone_; });
+                              [&](const peer* candidate) { return candidate->zone == zone_; });
     const auto in_zone = std::distance(candidates.begin(), other_zones);
     const auto choices =
         in_zone > 0 ? in_zone : std::distance(candidates.begin(), candidates.end());
@@ -249,9 +251,9 @@
 bool peer_table::any_fresh_since(base::time_point start, base::time_point now) const
 {
     return std::any_of(peers_.begin(), peers_.end(),
-                       [&](const auto& each)
+                       [&](const auto& entry)
                        {
-                           const auto& candidate = each.second;
+                           const auto& candidate = entry.second;
                            return is_reachable(candidate, now) &&
                                   *candidate.last_digest - candidate.tables_fresh_for < start;
                        });
