--- a/src/libcaraway/router/daemon.cpp
+++ b/src/libcaraway/router/daemon.cpp
@@ -192,13 +192,13 @@
     choose_table_source(now);
     link_.tell();
     request_missing_tables(now);
-    sync_router_table(now);
+    sync_routers_table(now);
     if (now >= next_sweep_)
     {
         next_sweep_ = now + sweep_period;
         core_.pool.sweep();
         peers_.forget_old(now);
-        update_limit_shares();
+        update_limits_per_router();
         core_.set_share_capacity();
     }
     if (now >= next_reload_)
--- a/src/libcaraway/router/daemon.hpp
+++ b/src/libcaraway/router/daemon.hpp
@@ -80,14 +80,14 @@
     routing::table_state tables() const;
     /// Tells the zone at once of what the store changed: the copy's mark is another.
     void announce_changes(std::uint64_t mark);
-    void sync_router_table(base::time_point now);
+    void sync_routers_table(base::time_point now);
     void write_own_row(base::time_point now);
     /// Learn of other routers: from the store, or from a peer that asks it.
     void read_routers(base::time_point now);
-    void ask_for_routers(base::time_point now);
+    void request_routers_from_peer(base::time_point now);
     void schedule_routers_read(base::time_point now);
     void progress_stop(base::time_point now);
-    void update_limit_shares();
+    void update_limits_per_router();
 
     /// Rows of the table with the configuration; all of them if `whole_at`.
     void apply_operator_rows(const std::vector<row>& rows,
@@ -101,7 +101,7 @@
                          std::optional<std::uint64_t> listing_revision, std::string_view source);
     /// Whether it is one that wasn't known, or that leaves now.
     bool apply_upstream(const row& upstream_row);
-    void log_upstream_changes(const std::vector<const row*>& changes, std::string_view source);
+    void log_upstreams(const std::vector<const row*>& changes, std::string_view source);
     void log_removed(const base::upstream_id& id, std::string_view source, std::uint64_t revision,
                      std::string_view outcome);
     /// How long it stays cold, by its entry or as it has just appeared.
@@ -110,7 +110,7 @@
     /// Drops upstreams whose removal waited until nothing could bring them back.
     void drop_expired_upstreams(base::time_point now);
     /// An entry that doesn't tell of an upstream that may be used.
-    void drop_unreadable(const row& upstream_row, const base::error& error);
+    void discard_unreadable(const row& upstream_row, const base::error& error);
     void apply_router_rows(const std::vector<row>& rows);
     /// Whether this router's upstreams are those that the copy tells of now.
     bool apply_copy(const table_copy& copy);
--- a/src/libcaraway/router/daemon_peers.cpp
+++ b/src/libcaraway/router/daemon_peers.cpp
@@ -100,7 +100,7 @@
     {
         upstreams_->rest();
     }
-    update_limit_shares();
+    update_limits_per_router();
 }
 
 /// A router in a flood takes seconds to ask a peer: four turns of its loop. The store holds a call
--- a/src/libcaraway/router/daemon_tables.cpp
+++ b/src/libcaraway/router/daemon_tables.cpp
@@ -82,12 +82,12 @@
     upstreams_->start();
 }
 
-void daemon::sync_router_table(base::time_point now)
+void daemon::sync_routers_table(base::time_point now)
 {
     const bool reads = now >= next_routers_read_;
     if (reads && upstreams_->resting())
     {
-        ask_for_routers(now);
+        request_routers_from_peer(now);
     }
     if (store_call_pending_)
     {
@@ -103,7 +103,7 @@
     }
 }
 
-void daemon::ask_for_routers(base::time_point now)
+void daemon::request_routers_from_peer(base::time_point now)
 {
     const auto* source = peers_.with_store(now, core_.random_unit());
     if (source != nullptr && link_.ask(source->control, true))
@@ -148,7 +148,7 @@
     next_routers_read_ = now + routers_read_interval_;
 }
 
-void daemon::update_limit_shares()
+void daemon::update_limits_per_router()
 {
     const auto routers = peers_.size() + 1;
     core_.retries.set_routers(routers);
@@ -246,7 +246,7 @@
     if (core_.adopt(std::move(decoded.value()), source))
     {
         configuration_text_ = text;
-        update_limit_shares();
+        update_limits_per_router();
         core_.dispatch_waiting();
         if (!upstreams_->resting())
         {
--- a/src/libcaraway/router/daemon_upstreams.cpp
+++ b/src/libcaraway/router/daemon_upstreams.cpp
@@ -41,7 +41,7 @@
             news.push_back(&each);
         }
     }
-    log_upstream_changes(news, source);
+    log_upstreams(news, source);
     if (listing_revision)
     {
         for (const auto& id :
@@ -59,7 +59,7 @@
     core_.dispatch_waiting();
 }
 
-void daemon::log_upstream_changes(const std::vector<const row*>& changes, std::string_view source)
+void daemon::log_upstreams(const std::vector<const row*>& changes, std::string_view source)
 {
     if (changes.size() > most_lines)
     {
@@ -119,7 +119,7 @@
     auto decoded = platform_.decode_upstream(upstream_row);
     if (!decoded)
     {
-        drop_unreadable(upstream_row, decoded.error());
+        discard_unreadable(upstream_row, decoded.error());
         return false;
     }
     const auto& entry = decoded.value();
@@ -166,7 +166,7 @@
     core_.expire_warmups();
 }
 
-void daemon::drop_unreadable(const row& upstream_row, const base::error& error)
+void daemon::discard_unreadable(const row& upstream_row, const base::error& error)
 {
     // What it said before no longer stands: whoever wrote over it, the upstream didn't say so.
     const routing::said when{.revision = upstream_row.revision, .heard = core_.now()};
--- a/src/libcaraway/router/ports.hpp
+++ b/src/libcaraway/router/ports.hpp
@@ -28,7 +28,7 @@
 };
 
 /// What an upstream's head says.
-struct answer_facts
+struct answer_metadata
 {
     std::optional<base::request_id> request;
     /// Proven to be an upstream's own answer.
@@ -47,7 +47,7 @@
     std::function<std::string(const http::request_head&, const std::string& body,
                               const forward_options&)>
         forward;
-    std::function<answer_facts(const http::response_head&)> parse_answer;
+    std::function<answer_metadata(const http::response_head&)> parse_answer;
     /// Whether a field of an upstream's head goes to the caller.
     std::function<bool(std::string_view)> passes_to_caller;
 };
--- a/src/libcaraway/router/request_session.hpp
+++ b/src/libcaraway/router/request_session.hpp
@@ -30,7 +30,7 @@
         std::shared_ptr<http::client_connection> connection;
         base::time_point sent{};
         std::optional<http::response_head> head;
-        answer_facts facts;
+        answer_metadata facts;
         std::string body;
         http::event_splitter events;
         bool streams = false;
