--- a/src/libcaraway/router/core.cpp
+++ b/src/libcaraway/router/core.cpp
@@ -8,28 +8,29 @@
 namespace
 {
 
-/// After so many waiting requests in a row found no place, the rest are taken to find none either:
-/// a pump looks at upstreams for each, and comes again with the next place that is free.
-constexpr std::size_t max_misses = 12;
+/// After this many queued requests found no upstream, a dispatch run skips the rest: each costs a
+/// search over the upstreams, and the next run starts as soon as capacity becomes free.
+constexpr std::size_t max_failed_placements = 12;
 
 scheduling::scheduler_options health_settings()
 {
     scheduling::scheduler_options options;
-    // A runner that came back is used again within seconds: the calls that find out are few.
+    // Short, so that a recovered upstream is used again within seconds. The requests that probe an
+    // upstream that still fails are few.
     options.ejection_base = std::chrono::milliseconds(400);
     options.ejection_max = std::chrono::milliseconds(3000);
     return options;
 }
 
 std::map<base::service_id, routing::warmup_terms>
-warmup_terms_of(const routing::configuration& from)
+warmup_terms_by_service(const routing::configuration& configuration)
 {
     std::map<base::service_id, routing::warmup_terms> terms;
-    for (const auto& each : from.services)
+    for (const auto& service : configuration.services)
     {
-        if (each.warmup_rate > 0)
+        if (service.warmup_rate > 0)
         {
-            terms[each.id] = {.lasts = each.warmup, .rate = each.warmup_rate};
+            terms[service.id] = {.lasts = service.warmup, .rate = service.warmup_rate};
         }
     }
     return terms;
@@ -38,50 +39,54 @@
 }  // namespace
 
 core::core(boost::asio::io_context& event_loop, const base::clock& process_clock,
-           settings process_options, caller_protocol callers, telemetry::line_log& lines)
+           settings process_options, caller_protocol protocol_of_callers,
+           telemetry::line_log& process_log)
     : loop(event_loop), clock(process_clock), options(std::move(process_options)),
-      protocol(std::move(callers)), log(lines), timers(loop, clock), pool(loop, timers),
-      slow_start(options.name), retries(options.retries), placer({.zone = options.zone}),
-      health_options(health_settings()), health(health_options), random_(std::random_device{}())
+      protocol(std::move(protocol_of_callers)), log(process_log), timers(loop, clock),
+      pool(loop, timers), slow_start(options.name), retries(options.retries),
+      placer({.zone = options.zone}), health_options(health_settings()), health(health_options),
+      random_(std::random_device{}())
 {
     shares.set_window(options.share_window);
 }
 
-bool core::adopt(routing::configuration accepted, std::string_view from)
+bool core::adopt(routing::configuration configuration, std::string_view source)
 {
-    if (accepted.version <= version())
+    if (configuration.version <= version())
     {
         return false;
     }
-    log.line("configuration", {{"version", static_cast<std::uint64_t>(accepted.version)},
+    log.line("configuration", {{"version", static_cast<std::uint64_t>(configuration.version)},
                                {"before", static_cast<std::uint64_t>(version())},
-                               {"from", from},
-                               {"routes", accepted.routes.size()},
-                               {"workspaces", accepted.workspaces.size()}});
-    slow_start.set_terms(warmup_terms_of(accepted));
-    table_ = std::make_shared<const routing::route_table>(std::move(accepted));
+                               {"from", source},
+                               {"routes", configuration.routes.size()},
+                               {"workspaces", configuration.workspaces.size()}});
+    slow_start.set_terms(warmup_terms_by_service(configuration));
+    table_ = std::make_shared<const routing::route_table>(std::move(configuration));
     set_share_capacity();
     return true;
 }
 
-bool core::apply_zone_update(const routing::zone_statement& what, std::string_view from)
+bool core::apply_zone_update(const routing::zone_statement& update, std::string_view source)
 {
-    const bool known = options.zones.empty() || options.zones.contains(what.zone);
-    if (!known || !directory.note_zone(what))
+    const bool known = options.zones.empty() || options.zones.contains(update.zone);
+    if (!known || !directory.note_zone(update))
     {
         return false;
     }
-    log.line(what.drained ? "zone_drained" : "zone_taken_back",
-             {{"zone", what.zone.str()}, {"from", from}, {"revision", what.revision}});
+    log.line(update.drained ? "zone_drained" : "zone_taken_back",
+             {{"zone", update.zone.str()}, {"from", source}, {"revision", update.revision}});
     set_share_capacity();
-    if (!what.drained)
+    if (!update.drained)
     {
-        // They may have become cold meanwhile, and their entries say so only at their next writing.
-        for (const auto& [id, each] : directory.all())
+        // The upstreams may have become cold while drained, and their table entries show that only
+        // after their next update.
+        for (const auto& [id, upstream] : directory.all())
         {
-            if (each.zone == what.zone)
+            if (upstream.zone == update.zone)
             {
-                record_cold(each, slow_start.terms_of(each.service).lasts, "zone_taken_back");
+                record_cold(upstream, slow_start.terms_of(upstream.service).lasts,
+                            "zone_taken_back");
             }
         }
         dispatch_waiting();
@@ -89,13 +94,14 @@
     return true;
 }
 
-void core::record_cold(const routing::upstream& which, std::chrono::milliseconds left,
+void core::record_cold(const routing::upstream& upstream, std::chrono::milliseconds remaining,
                        std::string_view because)
 {
-    if (slow_start.note_cold(which, left, now()))
+    if (slow_start.note_cold(upstream, remaining, now()))
     {
-        log.line("upstream_cold",
-                 {{"upstream", which.id.str()}, {"left_ms", left.count()}, {"because", because}});
+        log.line("upstream_cold", {{"upstream", upstream.id.str()},
+                                   {"left_ms", remaining.count()},
+                                   {"because", because}});
     }
 }
 
@@ -133,14 +139,15 @@
 
 void core::dispatch_waiting()
 {
-    if (pumping_ || wait_queue.size() == 0)
+    if (dispatching_ || wait_queue.size() == 0)
     {
         return;
     }
-    pumping_ = true;
-    const auto at = now();
-    const auto order = wait_queue.order([&](const auto& id) { return shares.fill(id, at); });
-    std::size_t misses = 0;
+    dispatching_ = true;
+    const auto current_time = now();
+    const auto order =
+        wait_queue.order([&](const auto& id) { return shares.fill(id, current_time); });
+    std::size_t failed_placements = 0;
     for (const auto id : order)
     {
         const auto found = waiting_.find(id);
@@ -155,12 +162,12 @@
             dequeue(id);
             continue;
         }
-        if (++misses >= max_misses)
+        if (++failed_placements >= max_failed_placements)
         {
             break;
         }
     }
-    pumping_ = false;
+    dispatching_ = false;
 }
 
 void core::expire_waiting()
@@ -195,13 +202,14 @@
 void core::record_attempt_result(const base::upstream_id& id, const base::service_id& service,
                                  scheduling::attempt_result result)
 {
-    // Only a failure asks how many of the service's upstreams are ejected.
+    // The service's upstreams are needed for a failure only: ejection depends on how many of them
+    // are ejected already.
     std::vector<base::upstream_id> peers;
     if (result != scheduling::attempt_result::done)
     {
-        for (const auto* each : directory.usable(service))
+        for (const auto* upstream : directory.usable(service))
         {
-            peers.push_back(each->id);
+            peers.push_back(upstream->id);
         }
     }
     const bool was_ejected = health.ejected(id, now());
@@ -209,7 +217,8 @@
     const bool is_ejected = health.ejected(id, now());
     if (is_ejected != was_ejected)
     {
-        // Where upstreams fail part of what they get, hundreds of these come a second.
+        // Logged at the limited rate of request lines: upstreams that fail a part of their requests
+        // change state hundreds of times a second.
         log.request_line("upstream_health", {{"upstream", id.str()},
                                              {"ejected", is_ejected},
                                              {"because", scheduling::name(result)}});
@@ -227,48 +236,48 @@
     log_crash(crashes.unreachable(id, now()));
 }
 
-void core::record_restart(const base::upstream_id& id, std::chrono::milliseconds born)
+void core::record_restart(const base::upstream_id& id, std::chrono::milliseconds process_start)
 {
-    log.line("upstream_restarted", {{"upstream", id.str()}, {"born", born.count()}});
+    log.line("upstream_restarted", {{"upstream", id.str()}, {"born", process_start.count()}});
     pool.close_all(id);
     placer.forget(id);
     health.forget(id);
     log_crash(crashes.restarted(id, now()));
-    std::vector<std::shared_ptr<request_session>> there;
-    if (const auto found = at_upstreams_.find(id); found != at_upstreams_.end())
+    std::vector<std::shared_ptr<request_session>> affected;
+    if (const auto found = in_flight_.find(id); found != in_flight_.end())
     {
-        for (const auto& [unused, each] : found->second)
+        for (const auto& [unused, session] : found->second)
         {
-            there.push_back(each.lock());
+            affected.push_back(session.lock());
         }
     }
-    const auto alive_for = clock.wall_time().time_since_epoch() - born;
-    for (const auto& each : there)
+    const auto uptime = clock.wall_time().time_since_epoch() - process_start;
+    for (const auto& session : affected)
     {
-        if (each == nullptr)
+        if (session == nullptr)
         {
             continue;
         }
-        each->on_upstream_restarted(std::chrono::duration_cast<base::duration>(alive_for));
+        session->on_upstream_restarted(std::chrono::duration_cast<base::duration>(uptime));
     }
 }
 
 void core::track_in_flight(const base::upstream_id& id, request_session& session)
 {
-    at_upstreams_[id][&session] = session.weak_from_this();
+    in_flight_[id][&session] = session.weak_from_this();
 }
 
 void core::untrack_in_flight(const base::upstream_id& id, request_session& session)
 {
-    const auto found = at_upstreams_.find(id);
-    if (found == at_upstreams_.end())
+    const auto found = in_flight_.find(id);
+    if (found == in_flight_.end())
     {
         return;
     }
     found->second.erase(&session);
     if (found->second.empty())
     {
-        at_upstreams_.erase(found);
+        in_flight_.erase(found);
     }
 }
 
--- a/src/libcaraway/router/core.hpp
+++ b/src/libcaraway/router/core.hpp
@@ -29,45 +29,51 @@
 
 class request_session;
 
-/// With less time left no upstream can do anything for a caller.
+/// Below this remaining time a request is not sent: no upstream could answer before its deadline.
 inline constexpr std::chrono::milliseconds min_time_left{25};
 
-inline std::chrono::milliseconds to_milliseconds(base::duration span)
+inline std::chrono::milliseconds to_milliseconds(base::duration duration)
 {
-    return std::chrono::duration_cast<std::chrono::milliseconds>(span);
+    return std::chrono::duration_cast<std::chrono::milliseconds>(duration);
 }
 
-/// What requests share: the decisions' state, the connections, the log. One thread only.
+/// State shared by all requests of a router: routing state, connections, timers, metrics, log. Not
+/// thread-safe: used on the event loop's thread only.
 class core
 {
 public:
     core(boost::asio::io_context& event_loop, const base::clock& process_clock,
-         settings process_options, caller_protocol callers, telemetry::line_log& lines);
-
-    /// Puts a newer configuration in force; an older one, or the same, changes nothing: what a
-    /// router has once done it doesn't undo, however late another copy arrives.
-    bool adopt(routing::configuration accepted, std::string_view from);
+         settings process_options, caller_protocol protocol_of_callers,
+         telemetry::line_log& process_log);
+
+    /// Applies the configuration if its version is greater than the current one. An older or equal
+    /// version is ignored, so that a copy that arrives late never reverts the configuration.
+    /// `source` names the store or the peer that sent it. Returns whether it was applied.
+    bool adopt(routing::configuration configuration, std::string_view source);
+    /// Null until the first configuration is applied.
     std::shared_ptr<const routing::route_table> table() const
     {
         return table_;
     }
+    /// 0 until the first configuration is applied.
     base::config_version version() const;
 
-    /// An operator said that an availability zone gets no new requests, or that it does again.
-    /// Whether that is news.
-    bool apply_zone_update(const routing::zone_statement& what, std::string_view from);
-    /// It is cold for so long, as somebody says; 0: it isn't.
-    void record_cold(const routing::upstream& which, std::chrono::milliseconds left,
+    /// An operator drained an availability zone (its upstreams get no new requests) or ended the
+    /// drain. Returns false if the zone is unknown or the update changes nothing.
+    bool apply_zone_update(const routing::zone_statement& update, std::string_view source);
+    /// The upstream stays cold for the remaining time; 0: it is warm. `because` goes to the log.
+    void record_cold(const routing::upstream& upstream, std::chrono::milliseconds remaining,
                      std::string_view because);
-    /// Those that were cold and aren't any more.
+    /// Marks upstreams as warm whose warm-up has ended.
     void expire_warmups();
-    /// Shares are of what may be used.
+    /// Recomputes the capacity that workspaces share: the configured one, less drained zones.
     void set_share_capacity();
 
     void handle(const std::shared_ptr<http::exchange>& request);
-    /// Gives places to those that wait; called when something may have become free.
+    /// Sends queued requests that find an upstream with room. To be called whenever capacity may
+    /// have become free.
     void dispatch_waiting();
-    /// Refuses those that have waited for too long.
+    /// Rejects requests whose time in the wait queue has expired.
     void expire_waiting();
 
     routing::ticket enqueue(const std::shared_ptr<request_session>& session,
@@ -76,17 +82,20 @@
 
     void record_attempt_result(const base::upstream_id& id, const base::service_id& service,
                                scheduling::attempt_result result);
-    /// A connection to an upstream ended before the whole answer came, or wasn't made at all.
+    /// The connection to an upstream was lost before the answer was complete.
     void record_lost_connection(const base::upstream_id& id, attempts::request_fingerprint request);
+    /// No connection to the upstream could be opened.
     void record_unreachable(const base::upstream_id& id);
-    /// Another process runs under the upstream's id, since `born` by its clock.
-    void record_restart(const base::upstream_id& id, std::chrono::milliseconds born);
-    /// A request is at the upstream, or no longer.
+    /// A new process runs under the upstream's id. `process_start` is its start time since the Unix
+    /// epoch by the upstream's clock.
+    void record_restart(const base::upstream_id& id, std::chrono::milliseconds process_start);
+    /// Adds a request to those in flight at the upstream, or removes it.
     void track_in_flight(const base::upstream_id& id, request_session& session);
     void untrack_in_flight(const base::upstream_id& id, request_session& session);
     /// Uniform in [0, 1).
     double random_unit();
-    /// Takes in what peers have sent and the loop hasn't come to yet, if that may be old.
+    /// Processes datagrams of peers that are still unread in the socket, if the state known from
+    /// peers may be stale.
     std::function<void()> receive_peer_updates = [] {
     };
 
@@ -112,18 +121,19 @@
     routing::crash_watch crashes;
     routing::refused_requests refused_requests;
     routing::overload_guard overload;
-    /// Requests for engines under way: what a router's processor is spent on.
+    /// Requests to engines in flight: they take most of a router's CPU time.
     std::size_t active_streams = 0;
     routing::placer placer;
     routing::reading_pace prefill_pace;
     scheduling::scheduler_options health_options;
     scheduling::upstream_health health;
-    /// Requests that came in, ever.
+    /// Total since the process started, as are the next two counts.
     std::uint64_t requests_received = 0;
-    /// Pieces of answers passed on, and requests refused as the processor is at its limit, ever.
+    /// Writes of streamed events to callers.
     std::uint64_t chunks_relayed = 0;
+    /// Requests rejected because the router's CPU is overloaded.
     std::uint64_t overload_rejections = 0;
-    /// SIGTERM came; new requests are refused from then on.
+    /// Set on SIGTERM or SIGINT: new requests are rejected from this time on.
     std::optional<base::time_point> reject_from;
 
 private:
@@ -132,9 +142,9 @@
     std::shared_ptr<const routing::route_table> table_;
     std::map<routing::ticket, std::weak_ptr<request_session>> waiting_;
     std::map<base::upstream_id, std::map<request_session*, std::weak_ptr<request_session>>>
-        at_upstreams_;
+        in_flight_;
     std::mt19937_64 random_;
-    bool pumping_ = false;
+    bool dispatching_ = false;
 };
 
 }  // namespace caraway::router
--- a/src/libcaraway/router/ports.hpp
+++ b/src/libcaraway/router/ports.hpp
@@ -10,106 +10,112 @@
 #include <string>
 #include <vector>
 
-/// A router as a process: sockets, timers and the decisions wired together, on one thread.
+/// The router process: connects sockets, timers and the routing decisions, on a single thread.
 namespace caraway::router
 {
 
-/// How a request is sent on.
+/// Options for a request that is forwarded to an upstream.
 struct forward_options
 {
-    /// The only instance that may run it.
+    /// The only instance that may run the request: another process may have taken over its address.
     base::upstream_id instance;
+    /// Until the request's deadline.
     std::chrono::milliseconds time_left{};
     std::optional<base::workspace_id> workspace;
-    /// The upstream first takes from there what that one has read of the prompt.
+    /// Another upstream, from which the chosen one first fetches the cached prefix of the prompt.
     std::optional<routing::endpoint> fetch_from;
-    /// A stream goes on behind this event; else the caller's own word stands.
+    /// The stream continues after the event with this id. If not set, the value in the caller's own
+    /// request applies.
     std::optional<std::uint64_t> resume_after;
 };
 
-/// What an upstream's head says.
+/// What the head of an upstream's response says about the attempt.
 struct answer_metadata
 {
+    /// The request that the response belongs to, if the head names one.
     std::optional<base::request_id> request;
-    /// Proven to be an upstream's own answer.
+    /// The head proves that the upstream itself answered, and not something in between.
     bool verified = false;
-    /// The upstream vouches that it did not run the request.
+    /// The upstream guarantees that it did not run the request.
     bool not_run = false;
-    /// Another instance has the address; not run.
+    /// Another instance now has the address; the request was not run.
     bool other_instance = false;
 };
 
-/// How callers' requests are understood and upstreams spoken to.
+/// Translates between callers' requests, the router's types and the protocol of upstreams.
 struct caller_protocol
 {
+    /// Error: the message that goes to the caller with status 400.
     std::function<base::result<routing::request_facts>(const http::request_head&)> parse_request;
-    /// The whole message for an upstream.
+    /// Returns the complete HTTP message for an upstream.
     std::function<std::string(const http::request_head&, const std::string& body,
                               const forward_options&)>
         forward;
     std::function<answer_metadata(const http::response_head&)> parse_answer;
-    /// Whether a field of an upstream's head goes to the caller.
+    /// Whether the header field with this name is passed from an upstream's response to the caller.
     std::function<bool(std::string_view)> passes_to_caller;
 };
 
-/// What the platform and callers ask besides requests: whether the router takes callers, and where
-/// to connect.
+/// The requests that the router answers itself: the platform's readiness check, and callers that
+/// look up which routers to connect to.
 struct entry_protocol
 {
     std::string readiness_path;
     std::string directory_path;
-    /// The query's field that names the caller's availability zone.
+    /// The query parameter that names the caller's availability zone.
     std::string zone_field;
-    /// The answer's body (JSON): where to connect, and for how long to keep that.
+    /// Returns the directory's JSON body: the addresses to connect to, and how long they are valid.
     std::function<std::string(const std::vector<routing::endpoint>&, std::chrono::seconds)> answer;
 };
 
-/// One row of a table in the platform's store.
+/// A row of a table in the platform's store.
 struct row
 {
     std::string key;
     std::string value;
     bool removed = false;
-    /// The store's revision in which this was written.
+    /// The store's revision in which the row was last written.
     std::uint64_t revision = 0;
 };
 
 struct rows_answer
 {
     std::vector<row> rows;
+    /// The store's revision up to which `rows` is current.
     std::uint64_t revision = 0;
-    /// Changes between the revision asked from and now are no longer known.
+    /// The store no longer keeps all changes since the requested revision; read the whole table.
     bool history_gone = false;
 };
 
 using rows_callback = std::function<void(base::result<rows_answer>)>;
 
-/// A table of the platform's store; each follower has its own, with a connection of its own.
+/// Access to one table of the platform's store. Each table has its own connection.
 struct table_port
 {
-    /// All rows of a table, as of one moment.
+    /// Reads a consistent snapshot of all rows.
     std::function<void(rows_callback)> read_all;
-    /// What changed after a revision; held until there is something, at most so long.
+    /// Long poll: reads the rows that changed after a revision. The store answers as soon as there
+    /// is a change, at the latest after `hold`.
     std::function<void(std::uint64_t after, std::chrono::milliseconds hold, rows_callback)> follow;
-    /// Writes one row.
+    /// Writes a single row.
     std::function<void(const row&, std::function<void(base::result<void>)>)> write;
 };
 
-/// The platform's tables, and what their rows mean.
+/// The platform's tables, and the decoders for their rows.
 struct platform_port
 {
     entry_protocol entry;
     table_port configurations;
     table_port upstreams;
     table_port routers;
-    /// The store has moved; calls from now on go there.
+    /// Sends all further calls to this address of the store.
     std::function<void(const routing::endpoint&)> set_store_address;
-    /// The key of the row that holds the accepted configuration.
+    /// Key of the row that holds the accepted configuration.
     std::string configuration_key;
     std::function<base::result<routing::configuration>(const std::string&)> decode_configuration;
     std::function<base::result<routing::upstream>(const row&)> decode_upstream;
-    /// The availability zone that a row beside the configuration drains; nothing: it is about
-    /// something else.
+    /// The availability zone that is drained by this row of the configuration table. Empty if the
+    /// row is of another kind; an error if it can't be decoded.
     std::function<std::optional<base::result<base::zone_id>>(const row&)> decode_drained_zone;
 };
 
