--- a/src/libcaraway/router/core.cpp
+++ b/src/libcaraway/router/core.cpp
@@ -179,7 +179,7 @@
         waiting_.erase(id);
         if (session)
         {
-            session->on_waited_too_long();
+            session->on_wait_expired();
         }
     }
 }
--- a/src/libcaraway/router/request_attempts.cpp
+++ b/src/libcaraway/router/request_attempts.cpp
@@ -1,4 +1,5 @@
-// A request's attempts at upstreams: sending, relaying what comes, and what follows from the end.
+// A request's attempts at upstreams: sending the request, relaying the response, and deciding what
+// follows when an attempt ends.
 #include "libcaraway/router/request_session.hpp"
 
 #include "libcaraway/http/server_connection.hpp"
@@ -16,13 +17,13 @@
 using routing::next_step;
 using std::chrono::milliseconds;
 
-/// Answers are held whole before they are passed on, so that one that breaks off can be asked for
-/// again; larger ones would fill a small VM's memory.
-constexpr std::size_t max_held_answer = 4U << 20U;
+/// Answers that aren't streamed are buffered whole before they are passed on, so that a truncated
+/// one can be retried. Larger ones would exhaust a small VM's memory.
+constexpr std::size_t max_buffered_answer = 4U << 20U;
 
-attempt_end end_of(http::call_failure why)
+attempt_end outcome_of(http::call_failure failure)
 {
-    switch (why)
+    switch (failure)
     {
     case http::call_failure::not_connected:
         return attempt_end::unreachable;
@@ -34,9 +35,9 @@
     return attempt_end::unknown;
 }
 
-scheduling::attempt_result result_of(attempt_end how)
+scheduling::attempt_result health_result_of(attempt_end outcome)
 {
-    switch (how)
+    switch (outcome)
     {
     case attempt_end::answered:
         return scheduling::attempt_result::done;
@@ -56,256 +57,262 @@
 
 }  // namespace
 
-void request_session::send(routing::placement place)
+void request_session::send(routing::placement placement)
 {
-    ticket_.reset();
+    wait_id_.reset();
     const auto now = core_.now();
-    const auto id = place.where.id;
-    core_.load_tracker.begin(id, place.load);
+    const auto id = placement.where.id;
+    core_.load_tracker.begin(id, placement.load);
     if (service_->engine)
     {
-        if (!counted_)
+        if (!counted_as_served_)
         {
-            core_.shares.count_served(account_, tokens(), now);
-            counted_ = true;
+            core_.shares.count_served(workspace_id_, share_tokens(), now);
+            counted_as_served_ = true;
         }
-        core_.placer.note_sent(id, facts_.parts, now);
+        core_.placer.note_sent(id, metadata_.parts, now);
     }
-    core_.slow_start.note_sent(place.where, now);
+    core_.slow_start.note_sent(placement.where, now);
     tried_.push_back(id);
-    ++sent_;
+    ++attempts_sent_;
     attempt_ = std::make_shared<attempt>();
-    sent_by_ = place;
-    sent_at_ = now;
-    attempt_->place = std::move(place);
+    last_placement_ = placement;
+    last_sent_at_ = now;
+    attempt_->placement = std::move(placement);
     core_.track_in_flight(id, *this);
-    attempt_->sent = now;
+    attempt_->sent_at = now;
     attempt_->connection = core_.pool.take(id);
-    forward_options terms{.instance = id,
-                          .time_left = time_left(),
-                          .workspace = workspace_ ? std::optional(workspace_->id) : std::nullopt,
-                          .resume_after = begun_ ? last_event_ : std::nullopt};
-    const auto& source = attempt_->place.source;
+    forward_options forwarding{.instance = id,
+                               .time_left = time_left(),
+                               .workspace =
+                                   workspace_ ? std::optional(workspace_->id) : std::nullopt,
+                               .resume_after = answer_begun_ ? last_event_id_ : std::nullopt};
+    const auto& source = attempt_->placement.source;
     if (source)
     {
-        terms.fetch_from = source->address;
+        forwarding.fetch_from = source->address;
     }
-    auto message = core_.protocol.forward(request_->head(), request_->body(), terms);
-    attempt_->connection->call(attempt_->place.where.address, std::move(message),
-                               request_->head().method() == http::verb::head, events_of(attempt_),
+    auto message = core_.protocol.forward(request_->head(), request_->body(), forwarding);
+    attempt_->connection->call(attempt_->placement.where.address, std::move(message),
+                               request_->head().method() == http::verb::head,
+                               call_handlers(attempt_),
                                [this](const http::response_head& head)
                                {
-                                   const auto facts = core_.protocol.parse_answer(head);
-                                   return !facts.request || *facts.request == facts_.id;
+                                   const auto metadata = core_.protocol.parse_answer(head);
+                                   return !metadata.request || *metadata.request == metadata_.id;
                                });
-    attempt_->last_sign = now;
-    watch_silence(*attempt_);
+    attempt_->last_activity = now;
+    start_silence_timer(*attempt_);
 }
 
-http::call_events request_session::events_of(const std::shared_ptr<attempt>& of)
+http::call_events request_session::call_handlers(const std::shared_ptr<attempt>& current)
 {
     const auto self = shared_from_this();
-    return {.head = [self, of](const http::response_head& head) { self->on_head(*of, head); },
-            .body = [self, of](std::string_view part) { self->on_body(*of, part); },
-            .end = [self, of] { self->on_end(*of); },
+    return {.head = [self, current](const http::response_head& head)
+            { self->on_head(*current, head); },
+            .body = [self, current](std::string_view part) { self->on_body(*current, part); },
+            .end = [self, current] { self->on_end(*current); },
             .failed =
-                [self, of](http::call_failure why)
+                [self, current](http::call_failure failure)
             {
-                self->on_failed(*of, why);
+                self->on_failed(*current, failure);
             }};
 }
 
-void request_session::on_head(attempt& of, const http::response_head& head)
+void request_session::on_head(attempt& current, const http::response_head& head)
 {
-    of.head = head;
-    of.facts = core_.protocol.parse_answer(head);
+    current.head = head;
+    current.metadata = core_.protocol.parse_answer(head);
     const bool success = head.result_int() >= 200 && head.result_int() < 300;
-    of.streams = success && of.facts.verified && route_->streaming &&
-                 view(head[http::field::content_type]).starts_with("text/event-stream");
+    current.is_stream = success && current.metadata.verified && route_->streaming &&
+                        view(head[http::field::content_type]).starts_with("text/event-stream");
 }
 
-void request_session::on_body(attempt& of, std::string_view part)
+void request_session::on_body(attempt& current, std::string_view part)
 {
-    if (of.streams)
+    if (current.is_stream)
     {
-        of.events.add(part);
-        relay_events(of);
+        current.events.add(part);
+        relay_events(current);
         return;
     }
-    if (of.body.size() + part.size() <= max_held_answer)
+    if (current.body.size() + part.size() <= max_buffered_answer)
     {
-        of.body += part;
+        current.body += part;
         return;
     }
-    attempt_ended(attempt_end::broken);
+    on_attempt_ended(attempt_end::broken);
 }
 
-void request_session::relay_events(attempt& of)
+void request_session::relay_events(attempt& current)
 {
-    of.last_sign = core_.now();
-    std::string ready;
-    while (const auto event = of.events.next())
+    current.last_activity = core_.now();
+    std::string new_events;
+    while (const auto event = current.events.next())
     {
-        // What the caller has is not sent again by the upstream that goes on.
-        const bool repeated = event->id && last_event_ && *event->id <= *last_event_;
+        // After a resume, events that the caller already has are skipped.
+        const bool repeated = event->id && last_event_id_ && *event->id <= *last_event_id_;
         if (repeated)
         {
             continue;
         }
         if (event->id)
         {
-            last_event_ = event->id;
+            last_event_id_ = event->id;
         }
-        ready += event->text;
+        new_events += event->text;
     }
-    if (ready.empty())
+    if (new_events.empty())
     {
         return;
     }
-    if (!of.prompt_read)
+    if (!current.prefilled)
     {
-        of.prompt_read = true;
-        core_.load_tracker.prompt_read(of.place.where.id, of.place.load.unread_tokens);
-        core_.prefill_pace.note(of.place.where.id, of.place.ahead,
-                                static_cast<std::uint32_t>(of.place.load.unread_tokens),
-                                core_.now() - of.sent, core_.now());
-        of.place.load.unread_tokens = 0;
+        current.prefilled = true;
+        core_.load_tracker.prompt_read(current.placement.where.id,
+                                       current.placement.load.unread_tokens);
+        core_.prefill_pace.note(current.placement.where.id, current.placement.ahead,
+                                static_cast<std::uint32_t>(current.placement.load.unread_tokens),
+                                core_.now() - current.sent_at, core_.now());
+        current.placement.load.unread_tokens = 0;
     }
-    begin_answer(of);
-    note_pause();
+    begin_answer(current);
+    record_event_gap();
     ++core_.chunks_relayed;
-    request_->write(ready);
+    request_->write(new_events);
 }
 
-void request_session::note_pause()
+void request_session::record_event_gap()
 {
     const auto now = core_.now();
-    if (last_piece_ != base::time_point{})
+    if (last_event_time_ != base::time_point{})
     {
-        longest_pause_ = std::max(longest_pause_, now - last_piece_);
+        longest_gap_ = std::max(longest_gap_, now - last_event_time_);
     }
-    last_piece_ = now;
+    last_event_time_ = now;
 }
 
-void request_session::begin_answer(const attempt& of)
+void request_session::begin_answer(const attempt& current)
 {
-    if (begun_)
+    if (answer_begun_)
     {
         return;
     }
-    begun_ = true;
-    first_piece_ = core_.now();
-    request_->begin(head_for_caller(*of.head));
+    answer_begun_ = true;
+    first_event_time_ = core_.now();
+    request_->begin(head_for_caller(*current.head));
 }
 
-void request_session::on_end(attempt& of)
+void request_session::on_end(attempt& current)
 {
-    core_.pool.give_back(of.place.where.id, std::move(of.connection));
-    const auto code = of.head->result_int();
-    const bool encoded = of.head->find(http::field::content_encoding) != of.head->end();
-    if (code == 421 && (of.facts.other_instance || of.facts.not_run))
+    core_.pool.give_back(current.placement.where.id, std::move(current.connection));
+    const auto code = current.head->result_int();
+    const bool encoded = current.head->find(http::field::content_encoding) != current.head->end();
+    if (code == 421 && (current.metadata.other_instance || current.metadata.not_run))
     {
-        attempt_ended(attempt_end::other_instance);
+        on_attempt_ended(attempt_end::other_instance);
     }
-    else if (of.facts.not_run)
+    else if (current.metadata.not_run)
     {
-        attempt_ended(attempt_end::refused);
+        on_attempt_ended(attempt_end::refused);
     }
-    else if (!of.facts.verified || encoded)
+    else if (!current.metadata.verified || encoded)
     {
-        attempt_ended(attempt_end::unknown);
+        on_attempt_ended(attempt_end::unknown);
     }
     else if (code >= 500)
     {
-        attempt_ended(attempt_end::upstream_error);
+        on_attempt_ended(attempt_end::upstream_error);
     }
-    else if (of.streams && of.events.has_rest())
+    else if (current.is_stream && current.events.has_rest())
     {
-        attempt_ended(attempt_end::broken);
+        on_attempt_ended(attempt_end::broken);
     }
     else
     {
-        attempt_ended(attempt_end::answered);
+        on_attempt_ended(attempt_end::answered);
     }
 }
 
-void request_session::on_failed(attempt& of, http::call_failure why)
+void request_session::on_failed(attempt& current, http::call_failure failure)
 {
-    if (why == http::call_failure::not_connected)
+    if (failure == http::call_failure::not_connected)
     {
-        core_.record_unreachable(of.place.where.id);
+        core_.record_unreachable(current.placement.where.id);
     }
     else
     {
-        core_.record_lost_connection(of.place.where.id, fingerprint());
+        core_.record_lost_connection(current.placement.where.id, fingerprint());
     }
-    attempt_ended(end_of(why));
+    on_attempt_ended(outcome_of(failure));
 }
 
-/// A connection to a process that is gone may stay silent for good. Clocks of VMs differ and jump,
-/// so what was sent about when the new process started is left to its connection; so is what still
-/// shows signs of life.
-void request_session::on_upstream_restarted(base::duration alive_for)
+/// A connection to a process that is gone may stay silent forever, so the attempt is failed here.
+/// Clocks of VMs differ and jump: an attempt that was sent at about the time when the new process
+/// started is left to its connection, and so is one that received data recently.
+void request_session::on_upstream_restarted(base::duration uptime)
 {
-    constexpr std::chrono::seconds clocks_differ{1};
+    constexpr std::chrono::seconds clock_tolerance{1};
     const auto now = core_.now();
-    const bool of_life_before = attempt_ && now - attempt_->sent > alive_for + clocks_differ;
-    if (ended_ || !of_life_before || now - attempt_->last_sign < clocks_differ)
+    const bool sent_before_restart = attempt_ && now - attempt_->sent_at > uptime + clock_tolerance;
+    if (ended_ || !sent_before_restart || now - attempt_->last_activity < clock_tolerance)
     {
         return;
     }
     const auto keep = shared_from_this();
-    const auto of = attempt_;
-    on_failed(*of, of->head ? http::call_failure::cut_answer : http::call_failure::no_answer);
+    const auto current = attempt_;
+    on_failed(*current,
+              current->head ? http::call_failure::cut_answer : http::call_failure::no_answer);
 }
 
-void request_session::attempt_ended(attempt_end how)
+void request_session::on_attempt_ended(attempt_end outcome)
 {
     const auto last = attempt_;
     if (last)
     {
-        const auto& id = last->place.where.id;
-        core_.record_attempt_result(id, service_->id, result_of(how));
+        const auto& id = last->placement.where.id;
+        core_.record_attempt_result(id, service_->id, health_result_of(outcome));
         release_attempt();
-        give_back_share(how);
-        if (how == attempt_end::other_instance)
+        refund_share(outcome);
+        if (outcome == attempt_end::other_instance)
         {
             core_.directory.forget(id);
             core_.pool.close_all(id);
         }
     }
-    if (how == attempt_end::unreachable && last)
+    if (outcome == attempt_end::unreachable && last)
     {
-        --sent_;
-        ++unreachable_;
+        --attempts_sent_;
+        ++unreachable_attempts_;
     }
-    const bool possible = how == attempt_end::unknown || how == attempt_end::broken ||
-                          how == attempt_end::upstream_error;
-    may_have_run_ = may_have_run_ || possible;
+    const bool attempt_may_have_run = outcome == attempt_end::unknown ||
+                                      outcome == attempt_end::broken ||
+                                      outcome == attempt_end::upstream_error;
+    may_have_run_ = may_have_run_ || attempt_may_have_run;
     routing::attempt_state state{.idempotent = is_idempotent(),
                                  .resumable = route_->resumable,
-                                 .partly_delivered = begun_,
-                                 .sent = sent_,
+                                 .partly_delivered = answer_begun_,
+                                 .sent = attempts_sent_,
                                  .max_sent = route_->max_attempts,
-                                 .unreachable = unreachable_,
+                                 .unreachable = unreachable_attempts_,
                                  .may_have_run = may_have_run_,
                                  .time_left = last && time_left() > min_time_left};
-    auto step = routing::decide(how, state);
-    const bool repeats = step == next_step::try_again || step == next_step::resume;
-    if (repeats && how != attempt_end::unreachable &&
+    auto step = routing::decide(outcome, state);
+    const bool is_retry = step == next_step::try_again || step == next_step::resume;
+    if (is_retry && outcome != attempt_end::unreachable &&
         !core_.retries.take_repeat(service_->id, core_.now()))
     {
         state.max_sent = state.sent;
-        step = routing::decide(how, state);
+        step = routing::decide(outcome, state);
     }
-    if (how != attempt_end::answered && last)
+    if (outcome != attempt_end::answered && last)
     {
         core_.log.request_line("attempt",
-                               {{"request", facts_.id.str()},
-                                {"upstream", last->place.where.id.str()},
-                                {"end", routing::name(how)},
+                               {{"request", metadata_.id.str()},
+                                {"upstream", last->placement.where.id.str()},
+                                {"end", routing::name(outcome)},
                                 {"status", last->head ? last->head->result_int() : 0},
-                                {"took_ms", to_milliseconds(core_.now() - last->sent).count()},
+                                {"took_ms", to_milliseconds(core_.now() - last->sent_at).count()},
                                 {"next", routing::name(step)}});
     }
     switch (step)
@@ -315,33 +322,34 @@
         break;
     case next_step::try_again:
     case next_step::resume:
-        look_for_place();
+        place_or_enqueue();
         break;
     case next_step::refuse:
-        refuse(routing::name(how));
+        reject(routing::name(outcome));
         break;
     case next_step::give_up:
-        answer(http::status::bad_gateway, routing::name(how));
+        answer(http::status::bad_gateway, routing::name(outcome));
         break;
     case next_step::break_off:
-        break_off(routing::name(how));
+        abort_answer(routing::name(outcome));
         break;
     }
     core_.dispatch_waiting();
 }
 
-/// A share is what callers get. Upstreams that crash take a flooding workspace's requests with
-/// them, some ten thousand tokens each; counted as served, they kept that workspace from places for
-/// the window of shares while others got three times as much.
-void request_session::give_back_share(attempt_end how)
+/// Shares count what callers receive. Upstreams that crash lose a flooding workspace's requests,
+/// some ten thousand tokens each. Counted as served, these kept the workspace from being placed for
+/// the whole share window, while others got three times as much.
+void request_session::refund_share(attempt_end outcome)
 {
-    const bool had_service = how == attempt_end::answered || how == attempt_end::upstream_error;
-    if (!counted_ || had_service)
+    const bool was_served =
+        outcome == attempt_end::answered || outcome == attempt_end::upstream_error;
+    if (!counted_as_served_ || was_served)
     {
         return;
     }
-    counted_ = false;
-    core_.shares.count_lost(account_, tokens(), core_.now());
+    counted_as_served_ = false;
+    core_.shares.count_lost(workspace_id_, share_tokens(), core_.now());
 }
 
 void request_session::release_attempt()
@@ -353,9 +361,10 @@
     const auto last = std::move(attempt_);
     attempt_.reset();
     core_.timers.cancel(last->silence_timer);
-    core_.untrack_in_flight(last->place.where.id, *this);
-    core_.load_tracker.end(last->place.where.id, last->place.load);
-    // A call that ended well has given its connection back; any other may still bring bytes.
+    core_.untrack_in_flight(last->placement.where.id, *this);
+    core_.load_tracker.end(last->placement.where.id, last->placement.load);
+    // A completed call has returned its connection to the pool. On any other connection the
+    // upstream may still send bytes.
     if (last->connection)
     {
         last->connection->close();
--- a/src/libcaraway/router/request_end.cpp
+++ b/src/libcaraway/router/request_end.cpp
@@ -1,5 +1,5 @@
-// How requests end: upstreams' answers, the router's own, connections broken off, and what is told
-// of each end.
+// How requests end: answers of upstreams, answers of the router itself, aborted connections, and
+// the metrics and log lines of each end.
 #include "libcaraway/router/request_session.hpp"
 
 #include "libcaraway/http/server_connection.hpp"
@@ -17,62 +17,63 @@
 using std::chrono::milliseconds;
 using telemetry::hundredths;
 
-std::string decimal_seconds(milliseconds span)
+std::string decimal_seconds(milliseconds duration)
 {
-    const auto text = std::to_string(span.count() % 1000 + 1000).substr(1);
-    return std::to_string(span.count() / 1000) + "." + text;
+    const auto text = std::to_string(duration.count() % 1000 + 1000).substr(1);
+    return std::to_string(duration.count() / 1000) + "." + text;
 }
 
-/// Statuses by which a router tells its caller that the request has not run and never will.
-bool promises_no_run(unsigned code)
+/// Statuses by which a router guarantees its caller that the request has not run and never will.
+bool guarantees_not_run(unsigned code)
 {
     return code == 408 || code == 421 || code == 429 || code == 503;
 }
 
 }  // namespace
 
-void request_session::deliver(const attempt& of)
+void request_session::deliver(const attempt& current)
 {
-    if (begun_)
+    if (answer_begun_)
     {
         request_->finish();
     }
-    else if (promises_no_run(of.head->result_int()) && !is_idempotent())
+    else if (guarantees_not_run(current.head->result_int()) && !is_idempotent())
     {
-        // The upstream may have run it and says what, from a router, promises that it has not.
+        // The upstream may have run the request, but a caller would take this status from a router
+        // as the guarantee that it has not run.
         answer(http::status::bad_gateway, "upstream_refused_after_start");
         return;
     }
     else
     {
-        request_->respond(head_for_caller(*of.head), of.body);
+        request_->respond(head_for_caller(*current.head), current.body);
     }
     if (core_.crashes.has_suspects())
     {
         core_.crashes.completed(fingerprint(), core_.now());
     }
-    end("answered", of.head->result_int(), "");
+    finish("answered", current.head->result_int(), "");
 }
 
-http::response_head request_session::head_for_caller(const http::response_head& from) const
+http::response_head request_session::head_for_caller(const http::response_head& upstream_head) const
 {
-    auto head = http::make_response(from.result());
-    head.result(from.result_int());
-    for (const auto& each : from)
+    auto head = http::make_response(upstream_head.result());
+    head.result(upstream_head.result_int());
+    for (const auto& field : upstream_head)
     {
-        if (core_.protocol.passes_to_caller(view(each.name_string())))
+        if (core_.protocol.passes_to_caller(view(field.name_string())))
         {
-            head.insert(each.name_string(), each.value());
+            head.insert(field.name_string(), field.value());
         }
     }
     return head;
 }
 
-void request_session::no_place(std::string_view reason)
+void request_session::fail_unplaced(std::string_view reason)
 {
-    if (begun_)
+    if (answer_begun_)
     {
-        break_off(reason);
+        abort_answer(reason);
         return;
     }
     if (may_have_run_)
@@ -80,42 +81,42 @@
         answer(http::status::bad_gateway, reason);
         return;
     }
-    refuse(reason);
+    reject(reason);
 }
 
-void request_session::refuse(std::string_view reason)
+void request_session::reject(std::string_view reason)
 {
     if (service_->engine)
     {
         core_.refused_requests.add(mark(), core_.now());
     }
-    const auto come_back =
-        std::min(routing::retry_after(*route_, standing().fill, core_.random_unit()),
+    const auto retry_after =
+        std::min(routing::retry_after(*route_, share_status().fill, core_.random_unit()),
                  std::max(milliseconds(0), time_left() / 3));
-    answer(http::status::service_unavailable, reason, come_back);
+    answer(http::status::service_unavailable, reason, retry_after);
 }
 
 void request_session::answer(http::status code, std::string_view reason,
-                             std::optional<milliseconds> come_back)
+                             std::optional<milliseconds> retry_after)
 {
     auto head = http::make_response(code);
     head.set(http::field::content_type, "application/json");
-    if (come_back)
+    if (retry_after)
     {
-        head.set(http::field::retry_after, decimal_seconds(*come_back));
+        head.set(http::field::retry_after, decimal_seconds(*retry_after));
     }
     const nlohmann::json body{{"error", reason}};
     request_->respond(std::move(head), body.dump());
-    end("own_answer", static_cast<unsigned>(code), reason);
+    finish("own_answer", static_cast<unsigned>(code), reason);
 }
 
-void request_session::break_off(std::string_view reason)
+void request_session::abort_answer(std::string_view reason)
 {
     request_->abort();
-    end("broken_off", 0, reason);
+    finish("broken_off", 0, reason);
 }
 
-void request_session::end(std::string_view outcome, unsigned status, std::string_view reason)
+void request_session::finish(std::string_view outcome, unsigned status, std::string_view reason)
 {
     if (ended_)
     {
@@ -124,13 +125,13 @@
     ended_ = true;
     core_.active_streams -= admitted_ ? 1 : 0;
     core_.timers.cancel(deadline_timer_);
-    if (ticket_)
+    if (wait_id_)
     {
-        core_.dequeue(*ticket_);
-        ticket_.reset();
+        core_.dequeue(*wait_id_);
+        wait_id_.reset();
     }
     core_.metrics
-        .counter({.name = "caraway_requests_total", .help = "Requests ended, by outcome."},
+        .counter({.name = "caraway_requests_total", .help = "Ended requests by outcome."},
                  {{"outcome", std::string(outcome)},
                   {"status", std::to_string(status)},
                   {"reason", std::string(reason.substr(0, 24))}})
@@ -149,7 +150,7 @@
 void request_session::log_end(std::string_view outcome, unsigned status, std::string_view reason)
 {
     const auto now = core_.now();
-    nlohmann::ordered_json line{{"request", facts_.id.str()},
+    nlohmann::ordered_json line{{"request", metadata_.id.str()},
                                 {"outcome", outcome},
                                 {"status", status},
                                 {"took_ms", to_milliseconds(now - request_->arrived()).count()}};
@@ -160,13 +161,13 @@
     if (route_ != nullptr)
     {
         line["route"] = route_->name;
-        line["workspace"] = account_.str();
+        line["workspace"] = workspace_id_.str();
         line["version"] = static_cast<std::uint64_t>(table_->accepted().version);
-        line["sent"] = sent_;
-        line["returned"] = returned_;
-        const auto of = standing();
-        line["fill"] = hundredths(of.fill);
-        line["ahead"] = hundredths(of.ahead);
+        line["sent"] = attempts_sent_;
+        line["returned"] = is_resubmission_;
+        const auto share = share_status();
+        line["fill"] = hundredths(share.fill);
+        line["ahead"] = hundredths(share.ahead);
     }
     if (!tried_.empty())
     {
@@ -174,25 +175,25 @@
     }
     if (service_ != nullptr && service_->engine)
     {
-        line["prompt"] = facts_.prompt_tokens;
-        line["output"] = expected_output();
-        line["patience_ms"] = facts_.patience.value_or(milliseconds(0)).count();
+        line["prompt"] = metadata_.prompt_tokens;
+        line["output"] = expected_output_tokens();
+        line["patience_ms"] = metadata_.patience.value_or(milliseconds(0)).count();
     }
-    if (sent_by_)
+    if (last_placement_)
     {
-        line["placed_ms"] = to_milliseconds(sent_at_ - request_->arrived()).count();
-        line["wait_ms"] = sent_by_->wait.count();
-        line["unread"] = sent_by_->load.unread_tokens;
-        line["running"] = sent_by_->running;
-        if (sent_by_->source)
+        line["placed_ms"] = to_milliseconds(last_sent_at_ - request_->arrived()).count();
+        line["wait_ms"] = last_placement_->wait.count();
+        line["unread"] = last_placement_->load.unread_tokens;
+        line["running"] = last_placement_->running;
+        if (last_placement_->source)
         {
-            line["fetched_from"] = sent_by_->source->id.str();
+            line["fetched_from"] = last_placement_->source->id.str();
         }
     }
-    if (begun_)
+    if (answer_begun_)
     {
-        line["first_ms"] = to_milliseconds(first_piece_ - request_->arrived()).count();
-        line["pause_ms"] = to_milliseconds(longest_pause_).count();
+        line["first_ms"] = to_milliseconds(first_event_time_ - request_->arrived()).count();
+        line["pause_ms"] = to_milliseconds(longest_gap_).count();
     }
     core_.log.request_line("request", line);
 }
--- a/src/libcaraway/router/request_session.cpp
+++ b/src/libcaraway/router/request_session.cpp
@@ -14,8 +14,8 @@
 using http::view;
 using std::chrono::milliseconds;
 
-/// Part of the greatest possible output that is expected where the caller gives no hint.
-constexpr double usual_output = 0.6;
+/// Expected output as a fraction of the maximum, for callers that give no hint.
+constexpr double default_output_ratio = 0.6;
 
 }  // namespace
 
@@ -26,13 +26,13 @@
 
 void request_session::start()
 {
-    auto facts = core_.protocol.parse_request(request_->head());
-    if (!facts)
+    auto metadata = core_.protocol.parse_request(request_->head());
+    if (!metadata)
     {
-        answer(http::status::bad_request, facts.error().message);
+        answer(http::status::bad_request, metadata.error().message);
         return;
     }
-    facts_ = std::move(facts.value());
+    metadata_ = std::move(metadata.value());
     table_ = core_.table();
     if (!table_)
     {
@@ -43,16 +43,16 @@
     {
         return;
     }
-    request_->on_gone([self = shared_from_this()] { self->on_gone(); });
-    const auto patience = std::min(facts_.patience.value_or(route_->timeout), route_->timeout);
-    deadline_ = request_->arrived() + patience;
+    request_->on_gone([self = shared_from_this()] { self->on_caller_left(); });
+    const auto timeout = std::min(metadata_.patience.value_or(route_->timeout), route_->timeout);
+    deadline_ = request_->arrived() + timeout;
     if (core_.reject_from && core_.now() >= *core_.reject_from)
     {
         answer(http::status::service_unavailable, "stopping", milliseconds(0));
         return;
     }
     count_arrival();
-    if (!enter())
+    if (!admit())
     {
         return;
     }
@@ -64,7 +64,7 @@
                                               self->on_deadline();
                                           }
                                       });
-    look_for_place();
+    place_or_enqueue();
 }
 
 bool request_session::find_route()
@@ -88,17 +88,17 @@
 
 bool request_session::find_workspace()
 {
-    if (!facts_.key.empty())
+    if (!metadata_.key.empty())
     {
-        workspace_ = table_->find_workspace(facts_.key);
+        workspace_ = table_->find_workspace(metadata_.key);
     }
     if (workspace_ != nullptr)
     {
-        account_ = workspace_->id;
+        workspace_id_ = workspace_->id;
     }
     if (workspace_ == nullptr && !route_->anonymous && !table_->accepted().workspaces.empty())
     {
-        answer(http::status::unauthorized, facts_.key.empty() ? "no_key" : "unknown_key");
+        answer(http::status::unauthorized, metadata_.key.empty() ? "no_key" : "unknown_key");
         return false;
     }
     return true;
@@ -111,35 +111,35 @@
     {
         return;
     }
-    // Those that return count as asked again: the more are refused, the stricter the terms beyond
-    // shares. Left out, engines took a fifth more than they could do on time (worth 0.02 lower on
-    // three deployments, n 54).
-    returned_ = core_.refused_requests.knows(mark(), core_.now());
-    core_.shares.count_asked(account_, tokens(), core_.now());
+    // Resubmitted requests count as demand again, so that more rejections lead to stricter limits
+    // beyond shares. Without them engines accepted a fifth more than they could answer on time
+    // (worth 0.02 lower on three deployments, n 54).
+    is_resubmission_ = core_.refused_requests.knows(mark(), core_.now());
+    core_.shares.count_asked(workspace_id_, share_tokens(), core_.now());
 }
 
-bool request_session::enter()
+bool request_session::admit()
 {
     if (!service_->engine)
     {
         return true;
     }
-    const auto output = static_cast<double>(expected_output());
-    const routing::stream_effort effort{.tokens = facts_.prompt_tokens + output,
+    const auto output = static_cast<double>(expected_output_tokens());
+    const routing::stream_effort effort{.tokens = metadata_.prompt_tokens + output,
                                         .events = output /
                                                   std::max(1U, service_->engine->tokens_per_event)};
     if (!core_.overload.admits(effort, core_.active_streams, core_.random_unit()))
     {
         ++core_.overload_rejections;
-        refuse("router_busy");
+        reject("router_busy");
         return false;
     }
-    // A busy router reads late: the caller's close may lie unread behind its request, and a request
-    // must not reach an upstream for nobody.
+    // An overloaded router reads late: the caller may have closed the connection already, with the
+    // close still unread behind the request. Such a request must not reach an upstream.
     if (core_.overload.busy() && request_->caller_has_left())
     {
         request_->abort();
-        end("caller_left", 0, "before_sending");
+        finish("caller_left", 0, "before_sending");
         return false;
     }
     ++core_.active_streams;
@@ -147,11 +147,11 @@
     return true;
 }
 
-void request_session::look_for_place()
+void request_session::place_or_enqueue()
 {
-    if (crashes_upstreams())
+    if (is_crash_suspect())
     {
-        no_place("crashes_upstreams");
+        fail_unplaced("crashes_upstreams");
         return;
     }
     if (try_place())
@@ -160,26 +160,26 @@
     }
     if (core_.directory.all_drained(service_->id))
     {
-        no_place("zones_drained");
+        fail_unplaced("zones_drained");
         return;
     }
     const auto now = core_.now();
-    const auto terms = routing::admit(*route_, standing(), {});
-    const auto until =
-        std::min((sent_ > 0 ? now : request_->arrived()) + terms.hold, deadline_ - min_time_left);
-    const bool full = core_.wait_queue.size() >= routing::admission_options{}.longest_line;
-    if (full || until <= now)
+    const auto terms = routing::admit(*route_, share_status(), {});
+    const auto wait_deadline = std::min(
+        (attempts_sent_ > 0 ? now : request_->arrived()) + terms.hold, deadline_ - min_time_left);
+    const bool is_full = core_.wait_queue.size() >= routing::admission_options{}.longest_line;
+    if (is_full || wait_deadline <= now)
     {
-        no_place(reason_of_no_place("no_place"));
+        fail_unplaced(unplaced_reason("no_place"));
         return;
     }
     const auto priority = workspace_ && workspace_->priority ? *workspace_->priority : 0;
-    ticket_ = core_.enqueue(shared_from_this(), {.workspace = account_,
-                                                 .service = service_->id,
-                                                 .returned = returned_,
-                                                 .priority = priority * 1000 + route_->priority,
-                                                 .arrived = request_->arrived(),
-                                                 .until = until});
+    wait_id_ = core_.enqueue(shared_from_this(), {.workspace = workspace_id_,
+                                                  .service = service_->id,
+                                                  .returned = is_resubmission_,
+                                                  .priority = priority * 1000 + route_->priority,
+                                                  .arrived = request_->arrived(),
+                                                  .until = wait_deadline});
 }
 
 bool request_session::try_place()
@@ -188,29 +188,29 @@
     {
         return true;
     }
-    auto place = find_place();
-    if (!place)
+    auto placement = find_placement();
+    if (!placement)
     {
         return false;
     }
-    send(std::move(*place));
+    send(std::move(*placement));
     return true;
 }
 
-std::optional<routing::placement> request_session::find_place()
+std::optional<routing::placement> request_session::find_placement()
 {
     core_.receive_peer_updates();
-    const auto terms = routing::admit(*route_, standing(), {});
+    const auto terms = routing::admit(*route_, share_status(), {});
     if (terms.closed)
     {
         return std::nullopt;
     }
     const auto now = core_.now();
-    const auto passed_over = core_.slow_start.passed_over();
+    const auto skipped_before = core_.slow_start.passed_over();
     const routing::placement_request request{.of = service_,
-                                             .prompt_tokens = facts_.prompt_tokens,
-                                             .output_tokens = expected_output(),
-                                             .parts = &facts_.parts,
+                                             .prompt_tokens = metadata_.prompt_tokens,
+                                             .output_tokens = expected_output_tokens(),
+                                             .parts = &metadata_.parts,
                                              .tried = tried_,
                                              .longest_wait = terms.longest_wait,
                                              .slot_share = terms.slot_share,
@@ -218,19 +218,19 @@
                                                                             : nullptr,
                                              .draw = core_.random_unit(),
                                              .most_repeated = terms.most_repeated};
-    auto found = core_.placer.choose(request, core_.directory, core_.load_tracker, core_.health,
-                                     core_.prefill_pace, now);
-    cold_passed_over_ = !found && core_.slow_start.passed_over() != passed_over;
-    return found;
+    auto placement = core_.placer.choose(request, core_.directory, core_.load_tracker, core_.health,
+                                         core_.prefill_pace, now);
+    skipped_cold_upstream_ = !placement && core_.slow_start.passed_over() != skipped_before;
+    return placement;
 }
 
-void request_session::on_waited_too_long()
+void request_session::on_wait_expired()
 {
-    ticket_.reset();
-    no_place(reason_of_no_place("waited"));
+    wait_id_.reset();
+    fail_unplaced(unplaced_reason("waited"));
 }
 
-std::string_view request_session::reason_of_no_place(std::string_view usual) const
+std::string_view request_session::unplaced_reason(std::string_view default_reason) const
 {
     if (core_.directory.all_drained(service_->id))
     {
@@ -240,7 +240,7 @@
     {
         return "no_upstream";
     }
-    return cold_passed_over_ ? "upstreams_cold" : usual;
+    return skipped_cold_upstream_ ? "upstreams_cold" : default_reason;
 }
 
 void request_session::on_deadline()
@@ -250,33 +250,33 @@
         return;
     }
     const auto keep = shared_from_this();
-    const bool sent = attempt_ != nullptr;
-    if (sent)
+    const bool was_sent = attempt_ != nullptr;
+    if (was_sent)
     {
-        // An upstream that says nothing until the time is over is not known to be well.
+        // No response head before the deadline counts as a failure of the upstream.
         if (!attempt_->head)
         {
-            core_.record_attempt_result(attempt_->place.where.id, service_->id,
+            core_.record_attempt_result(attempt_->placement.where.id, service_->id,
                                         scheduling::attempt_result::failed);
         }
         release_attempt();
     }
-    if (begun_)
+    if (answer_begun_)
     {
-        break_off("deadline");
+        abort_answer("deadline");
     }
-    else if (sent || may_have_run_)
+    else if (was_sent || may_have_run_)
     {
         answer(http::status::gateway_timeout, "deadline");
     }
     else
     {
-        refuse("deadline");
+        reject("deadline");
     }
     core_.dispatch_waiting();
 }
 
-void request_session::on_gone()
+void request_session::on_caller_left()
 {
     if (ended_)
     {
@@ -284,7 +284,7 @@
     }
     const auto keep = shared_from_this();
     release_attempt();
-    end("caller_left", 0, "");
+    finish("caller_left", 0, "");
     core_.dispatch_waiting();
 }
 
@@ -292,38 +292,40 @@
 {
     using scheduling::combine;
     using scheduling::stable_hash;
-    auto hash = combine(stable_hash(account_.str()), stable_hash(view(request_->head().target())));
-    hash = combine(hash, facts_.prompt_tokens);
-    hash = combine(hash, (std::uint64_t{facts_.max_output_tokens} << 32U) | facts_.output_hint);
-    if (!facts_.parts.empty())
+    auto hash =
+        combine(stable_hash(workspace_id_.str()), stable_hash(view(request_->head().target())));
+    hash = combine(hash, metadata_.prompt_tokens);
+    hash =
+        combine(hash, (std::uint64_t{metadata_.max_output_tokens} << 32U) | metadata_.output_hint);
+    if (!metadata_.parts.empty())
     {
-        hash = combine(hash, stable_hash(facts_.parts.back().id));
+        hash = combine(hash, stable_hash(metadata_.parts.back().id));
     }
     return routing::request_mark{static_cast<std::uint32_t>(hash)};
 }
 
-routing::standing request_session::standing() const
+routing::standing request_session::share_status() const
 {
-    // Shares are of engines; plain services are far from full.
+    // Shares apply to engines only; plain services have ample capacity.
     if (service_ == nullptr || !service_->engine)
     {
         return {};
     }
-    return core_.shares.of(account_, returned_, core_.now());
+    return core_.shares.of(workspace_id_, is_resubmission_, core_.now());
 }
 
-double request_session::tokens() const
+double request_session::share_tokens() const
 {
-    return facts_.prompt_tokens + 2.0 * expected_output();
+    return metadata_.prompt_tokens + 2.0 * expected_output_tokens();
 }
 
-std::uint32_t request_session::expected_output() const
+std::uint32_t request_session::expected_output_tokens() const
 {
-    if (facts_.output_hint > 0)
+    if (metadata_.output_hint > 0)
     {
-        return facts_.output_hint;
+        return metadata_.output_hint;
     }
-    return static_cast<std::uint32_t>(usual_output * facts_.max_output_tokens);
+    return static_cast<std::uint32_t>(default_output_ratio * metadata_.max_output_tokens);
 }
 
 attempts::request_fingerprint request_session::fingerprint()
@@ -333,13 +335,13 @@
         return *fingerprint_;
     }
     const auto body = scheduling::stable_hash(request_->body());
-    const auto what = std::string(request_->head().method_string()) + ' ' +
-                      std::string(request_->head().target()) + ' ' + std::to_string(body);
-    fingerprint_ = attempts::fingerprint_of(account_, service_->id, what);
+    const auto content = std::string(request_->head().method_string()) + ' ' +
+                         std::string(request_->head().target()) + ' ' + std::to_string(body);
+    fingerprint_ = attempts::fingerprint_of(workspace_id_, service_->id, content);
     return *fingerprint_;
 }
 
-bool request_session::crashes_upstreams()
+bool request_session::is_crash_suspect()
 {
     return core_.crashes.has_suspects() && core_.crashes.refuses(fingerprint(), core_.now());
 }
--- a/src/libcaraway/router/request_session.hpp
+++ b/src/libcaraway/router/request_session.hpp
@@ -8,124 +8,135 @@
 namespace caraway::router
 {
 
-/// One request from its arrival to its end: understood, given a place, sent, answered. Keeps itself
-/// alive through what it waits for.
+/// One request from its arrival to its end: parsed, placed at an upstream, sent, answered. The
+/// pending callbacks (connection, caller's exchange) keep the session alive.
 class request_session : public std::enable_shared_from_this<request_session>
 {
 public:
     request_session(core& shared, std::shared_ptr<http::exchange> request);
 
     void start();
-    /// Sends it if some upstream has a place now.
+    /// Sends the request if an upstream has room now. Returns true if the request no longer needs
+    /// to wait.
     bool try_place();
-    void on_waited_too_long();
-    /// The upstream that it is at is another process than before, for so long by its own clock.
-    void on_upstream_restarted(base::duration alive_for);
+    void on_wait_expired();
+    /// A new process, with this uptime by its own clock, replaced the upstream that the request was
+    /// sent to.
+    void on_upstream_restarted(base::duration uptime);
 
 private:
-    /// An attempt at one upstream.
+    /// One attempt to have the request answered by an upstream.
     struct attempt
     {
-        routing::placement place;
+        routing::placement placement;
         std::shared_ptr<http::client_connection> connection;
-        base::time_point sent{};
+        base::time_point sent_at{};
         std::optional<http::response_head> head;
-        answer_metadata facts;
+        answer_metadata metadata;
         std::string body;
         http::event_splitter events;
-        bool streams = false;
-        bool prompt_read = false;
-        base::time_point last_sign{};
+        /// The response is an event stream that is relayed event by event.
+        bool is_stream = false;
+        /// The first event arrived: the upstream has processed the prompt.
+        bool prefilled = false;
+        /// Start of the silence: when events last arrived, or else when the request was sent.
+        base::time_point last_activity{};
         http::timer_queue::handle silence_timer;
     };
 
     bool find_route();
     bool find_workspace();
     void count_arrival();
-    /// Counts it among those under way; or refuses it, as this router can't carry one more.
-    bool enter();
-    void look_for_place();
+    /// Counts the request as an active stream. Returns false if the session has ended: the router
+    /// is overloaded, or the caller has left.
+    bool admit();
+    void place_or_enqueue();
 
-    void send(routing::placement place);
-    http::call_events events_of(const std::shared_ptr<attempt>& of);
-    void on_head(attempt& of, const http::response_head& head);
-    void on_body(attempt& of, std::string_view part);
-    void on_end(attempt& of);
-    void on_failed(attempt& of, http::call_failure why);
-    void relay_events(attempt& of);
-    void watch_silence(attempt& of);
+    void send(routing::placement placement);
+    http::call_events call_handlers(const std::shared_ptr<attempt>& current);
+    void on_head(attempt& current, const http::response_head& head);
+    void on_body(attempt& current, std::string_view part);
+    void on_end(attempt& current);
+    void on_failed(attempt& current, http::call_failure failure);
+    void relay_events(attempt& current);
+    void start_silence_timer(attempt& current);
     void on_silence_timer();
-    /// Without a sign of life for so long an upstream is taken for dead.
-    std::chrono::milliseconds longest_silence() const;
-    void begin_answer(const attempt& of);
-    void note_pause();
+    /// An upstream that sends nothing for this time is taken for dead.
+    std::chrono::milliseconds silence_timeout() const;
+    void begin_answer(const attempt& current);
+    void record_event_gap();
 
-    void attempt_ended(routing::attempt_end how);
+    void on_attempt_ended(routing::attempt_end outcome);
     void release_attempt();
-    void give_back_share(routing::attempt_end how);
-    std::optional<routing::placement> find_place();
-    void deliver(const attempt& of);
-    void refuse(std::string_view reason);
-    /// Why no upstream was found; `usual` if nothing special kept it from one.
-    std::string_view reason_of_no_place(std::string_view usual) const;
-    /// Ends it for want of an upstream, by what is known of earlier attempts.
-    void no_place(std::string_view reason);
-    /// A final answer of the router's own.
+    void refund_share(routing::attempt_end outcome);
+    std::optional<routing::placement> find_placement();
+    void deliver(const attempt& current);
+    void reject(std::string_view reason);
+    /// Why no upstream was found; `default_reason` if there is no more specific reason.
+    std::string_view unplaced_reason(std::string_view default_reason) const;
+    /// Ends the request because no upstream is available. The answer depends on whether an earlier
+    /// attempt may have run.
+    void fail_unplaced(std::string_view reason);
+    /// Sends a final answer made by the router itself. `retry_after` is sent as Retry-After.
     void answer(http::status code, std::string_view reason,
-                std::optional<std::chrono::milliseconds> come_back = std::nullopt);
-    void break_off(std::string_view reason);
-    void end(std::string_view outcome, unsigned status, std::string_view reason);
+                std::optional<std::chrono::milliseconds> retry_after = std::nullopt);
+    void abort_answer(std::string_view reason);
+    void finish(std::string_view outcome, unsigned status, std::string_view reason);
     void log_end(std::string_view outcome, unsigned status, std::string_view reason);
     void on_deadline();
-    void on_gone();
+    void on_caller_left();
 
-    http::response_head head_for_caller(const http::response_head& from) const;
+    http::response_head head_for_caller(const http::response_head& upstream_head) const;
     bool is_idempotent() const;
-    /// By which it is known again when its caller sends it once more, at whichever router.
+    /// Identifies the request, body included, when its caller sends it again to any router.
     attempts::request_fingerprint fingerprint();
-    /// Upstreams crashed under it, at this router or others, so that no more may run it.
-    bool crashes_upstreams();
-    /// By which it is known again at whichever router, and cheap enough for each request.
+    /// Upstreams crashed while they ran this request, sent by this router or others, so that it
+    /// must not be sent again.
+    bool is_crash_suspect();
+    /// Identifies the request at any router without hashing the body: cheap enough for each
+    /// request.
     routing::request_mark mark() const;
-    routing::standing standing() const;
-    double tokens() const;
-    std::uint32_t expected_output() const;
+    routing::standing share_status() const;
+    /// Tokens charged to the workspace's share: prompt, and twice the expected output.
+    double share_tokens() const;
+    std::uint32_t expected_output_tokens() const;
     std::chrono::milliseconds time_left() const;
 
     core& core_;
     std::shared_ptr<http::exchange> request_;
     std::shared_ptr<const routing::route_table> table_;
-    routing::request_facts facts_;
+    routing::request_facts metadata_;
     const routing::route* route_ = nullptr;
     const routing::service* service_ = nullptr;
     const routing::workspace* workspace_ = nullptr;
-    base::workspace_id account_;
+    base::workspace_id workspace_id_;
     base::time_point deadline_{};
     http::timer_queue::handle deadline_timer_;
-    std::optional<routing::ticket> ticket_;
+    std::optional<routing::ticket> wait_id_;
     std::shared_ptr<attempt> attempt_;
     std::vector<base::upstream_id> tried_;
-    std::uint32_t sent_ = 0;
-    std::uint32_t unreachable_ = 0;
+    /// Attempts that reached an upstream; those without a connection count as unreachable.
+    std::uint32_t attempts_sent_ = 0;
+    std::uint32_t unreachable_attempts_ = 0;
     bool may_have_run_ = false;
-    /// No place was found, and an upstream with room was passed over as it is cold.
-    bool cold_passed_over_ = false;
-    /// Refused before, and sent once more by its caller.
-    bool returned_ = false;
-    bool counted_ = false;
+    /// No upstream was found, and one with room was skipped because it is cold.
+    bool skipped_cold_upstream_ = false;
+    /// The request was rejected before, and its caller sent it again.
+    bool is_resubmission_ = false;
+    bool counted_as_served_ = false;
     bool admitted_ = false;
-    bool begun_ = false;
+    bool answer_begun_ = false;
     bool ended_ = false;
-    /// Hashed when it is first asked for, as few requests need it.
+    /// Computed on first use, as few requests need it.
     std::optional<attempts::request_fingerprint> fingerprint_;
-    std::optional<std::uint64_t> last_event_;
-    base::time_point first_piece_{};
-    base::time_point last_piece_{};
-    /// Between two pieces, as they left for the caller.
-    base::duration longest_pause_{};
-    /// What was believed of the upstream that it was sent to last.
-    std::optional<routing::placement> sent_by_;
-    base::time_point sent_at_{};
+    std::optional<std::uint64_t> last_event_id_;
+    base::time_point first_event_time_{};
+    base::time_point last_event_time_{};
+    /// Longest time between two writes of events to the caller.
+    base::duration longest_gap_{};
+    /// Placement of the last attempt, with the load that was assumed for the upstream.
+    std::optional<routing::placement> last_placement_;
+    base::time_point last_sent_at_{};
 };
 
 }  // namespace caraway::router
--- a/src/libcaraway/router/request_silence.cpp
+++ b/src/libcaraway/router/request_silence.cpp
@@ -1,8 +1,8 @@
-// Streams whose upstream fell silent.
+// Detection of streams whose upstream sends nothing any more.
 //
-// An upstream that lost power sends no reset: its streams end in silence, and their callers wait in
-// vain until they leave. A silent one isn't known to be dead, so a stream is taken from it only if
-// it may be resumed and another upstream can go on with it at once.
+// An upstream that lost power sends no reset: its streams stay open without data, and callers wait
+// until they time out. A silent upstream isn't known to be dead, so a stream is moved away from it
+// only if the stream is resumable and another upstream can continue it at once.
 #include "libcaraway/router/request_session.hpp"
 
 #include <algorithm>
@@ -15,31 +15,31 @@
 
 using std::chrono::milliseconds;
 
-/// Silence after which another upstream is asked to go on: so many of the longest pauses, or of the
-/// times to a first event, that are still on time. Callers leave after eight such pauses or four
-/// such times, and after two seconds at the soonest.
-constexpr int silent_pauses = 4;
-constexpr int silent_starts = 3;
-constexpr milliseconds least_silence{1000};
+/// The silence after which another upstream resumes the stream, as a multiple of the route's
+/// target: for the gap between events, or for the latency of the first event. Callers leave after
+/// eight such gaps or four such latencies, and after two seconds at the earliest.
+constexpr int silent_gaps = 4;
+constexpr int silent_latencies = 3;
+constexpr milliseconds min_silence_timeout{1000};
 
 }  // namespace
 
-void request_session::watch_silence(attempt& of)
+void request_session::start_silence_timer(attempt& current)
 {
-    const bool could_resume =
-        route_->streaming && route_->resumable && sent_ < route_->max_attempts;
-    if (!could_resume)
+    const bool can_resume =
+        route_->streaming && route_->resumable && attempts_sent_ < route_->max_attempts;
+    if (!can_resume)
     {
         return;
     }
-    of.silence_timer = core_.timers.at(of.last_sign + longest_silence(),
-                                       [weak = weak_from_this()]
-                                       {
-                                           if (const auto self = weak.lock())
-                                           {
-                                               self->on_silence_timer();
-                                           }
-                                       });
+    current.silence_timer = core_.timers.at(current.last_activity + silence_timeout(),
+                                            [weak = weak_from_this()]
+                                            {
+                                                if (const auto self = weak.lock())
+                                                {
+                                                    self->on_silence_timer();
+                                                }
+                                            });
 }
 
 void request_session::on_silence_timer()
@@ -49,38 +49,39 @@
         return;
     }
     const auto now = core_.now();
-    const auto silent = to_milliseconds(now - attempt_->last_sign);
-    if (silent < longest_silence())
+    const auto silent = to_milliseconds(now - attempt_->last_activity);
+    if (silent < silence_timeout())
     {
-        watch_silence(*attempt_);
+        start_silence_timer(*attempt_);
         return;
     }
-    auto place = time_left() > min_time_left ? find_place() : std::nullopt;
-    if (!place || !core_.retries.take_repeat(service_->id, now))
+    auto placement = time_left() > min_time_left ? find_placement() : std::nullopt;
+    if (!placement || !core_.retries.take_repeat(service_->id, now))
     {
-        attempt_->last_sign = now;
-        watch_silence(*attempt_);
+        attempt_->last_activity = now;
+        start_silence_timer(*attempt_);
         return;
     }
     const auto keep = shared_from_this();
-    const auto& id = attempt_->place.where.id;
-    core_.log.request_line("attempt", {{"request", facts_.id.str()},
-                                       {"upstream", id.str()},
-                                       {"end", "silent"},
-                                       {"took_ms", to_milliseconds(now - attempt_->sent).count()},
-                                       {"silent_ms", silent.count()},
-                                       {"next", "resume"}});
+    const auto& id = attempt_->placement.where.id;
+    core_.log.request_line("attempt",
+                           {{"request", metadata_.id.str()},
+                            {"upstream", id.str()},
+                            {"end", "silent"},
+                            {"took_ms", to_milliseconds(now - attempt_->sent_at).count()},
+                            {"silent_ms", silent.count()},
+                            {"next", "resume"}});
     core_.record_attempt_result(id, service_->id, scheduling::attempt_result::failed);
     may_have_run_ = true;
     release_attempt();
-    send(std::move(*place));
+    send(std::move(*placement));
 }
 
-milliseconds request_session::longest_silence() const
+milliseconds request_session::silence_timeout() const
 {
-    const auto usual =
-        begun_ ? silent_pauses * route_->gap_target : silent_starts * route_->latency_target;
-    return std::max(usual, least_silence);
+    const auto timeout = answer_begun_ ? silent_gaps * route_->gap_target
+                                       : silent_latencies * route_->latency_target;
+    return std::max(timeout, min_silence_timeout);
 }
 
 }  // namespace caraway::router
