--- a/src/libcaraway/router/daemon_answers.cpp
+++ b/src/libcaraway/router/daemon_answers.cpp
@@ -123,17 +123,17 @@
               static_cast<double>(callers_->connections()));
     set_gauge("caraway_configuration_version", "Version of the configuration in force.",
               static_cast<double>(static_cast<std::uint64_t>(core_.version())));
-    set_gauge("caraway_upstreams", "Known upstreams.", static_cast<double>(core_.directory.size()));
-    set_gauge("caraway_upstreams_cold", "Upstreams taken to be cold.",
+    set_gauge("caraway_upstreams", "Upstreams known.", static_cast<double>(core_.directory.size()));
+    set_gauge("caraway_upstreams_cold", "Upstreams believed to be cold.",
               static_cast<double>(core_.slow_start.size()));
     set_gauge("caraway_zones_drained",
-              "Drained availability zones: their upstreams get no new requests.",
+              "Drained availability zones: nothing new is sent to their upstreams.",
               static_cast<double>(core_.directory.zones().drained()));
-    set_gauge("caraway_peers", "Known other routers.", static_cast<double>(peers_.size()));
+    set_gauge("caraway_peers", "Other routers known.", static_cast<double>(peers_.size()));
     set_gauge("caraway_streams", "Requests to engines in flight.",
               static_cast<double>(core_.active_streams));
     set_gauge("caraway_overloaded",
-              "1 while the router limits its load because its CPU is overloaded.",
+              "1 while a limit on requests or connections is in force, as the CPU is overloaded.",
               core_.overload.busy() ? 1 : 0);
     set_gauge("caraway_connection_refusals",
               "Times that new connections of callers were refused until the next tick, in total.",
