--- a/src/libcaraway/router/daemon_answers.cpp
+++ b/src/libcaraway/router/daemon_answers.cpp
@@ -127,7 +127,7 @@
     set_gauge("caraway_upstreams_cold", "Upstreams believed to be cold.",
               static_cast<double>(core_.slow_start.size()));
     set_gauge("caraway_zones_drained",
-              "Drained availability zones: nothing new is sent to their upstreams.",
+              "Drained availability zones: upstreams there get nothing new.",
               static_cast<double>(core_.directory.zones().drained()));
     set_gauge("caraway_peers", "Other routers known.", static_cast<double>(peers_.size()));
     set_gauge("caraway_streams", "Requests to engines in flight.",
