--- a/src/libcaraway/router/daemon_answers.cpp
+++ b/src/libcaraway/router/daemon_answers.cpp
@@ -157,27 +157,27 @@
 {
     const auto now = core_.now();
     auto upstreams = nlohmann::ordered_json::array();
-    for (const auto& [id, each] : core_.directory.all())
+    for (const auto& [id, upstream] : core_.directory.all())
     {
         const auto load = core_.load_tracker.total(id);
         upstreams.push_back({{"id", id.str()},
-                             {"service", each.service.str()},
-                             {"zone", each.zone.str()},
-                             {"draining", each.draining},
-                             {"zone_drained", core_.directory.zones().contains(each.zone)},
+                             {"service", upstream.service.str()},
+                             {"zone", upstream.zone.str()},
+                             {"draining", upstream.draining},
+                             {"zone_drained", core_.directory.zones().contains(upstream.zone)},
                              {"cold", core_.slow_start.is_cold(id, now)},
                              {"ejected", core_.health.ejected(id, now)},
                              {"running", load.running},
                              {"unread_tokens", load.unread_tokens}});
     }
     auto peers = nlohmann::ordered_json::array();
-    for (const auto& [id, each] : peers_.all())
+    for (const auto& [id, peer] : peers_.all())
     {
         peers.push_back({{"router", id.str()},
-                         {"zone", each.zone.str()},
-                         {"heard", peers_.is_heard(each, now)},
-                         {"ready", each.ready},
-                         {"version", static_cast<std::uint64_t>(each.version)}});
+                         {"zone", peer.zone.str()},
+                         {"heard", peers_.is_heard(peer, now)},
+                         {"ready", peer.ready},
+                         {"version", static_cast<std::uint64_t>(peer.version)}});
     }
     return {{"router", core_.options.name.str()},
             {"version", static_cast<std::uint64_t>(core_.version())},
