--- a/src/libcaraway/router/core.cpp
+++ b/src/libcaraway/router/core.cpp
@@ -8,28 +8,29 @@
 namespace
 {
 
-/// After so many waiting requests in a row found no place, the rest are taken to find none either:
-/// a pump looks at upstreams for each, and comes again with the next place that is free.
-constexpr std::size_t max_misses = 12;
+/// After this many queued requests found no upstream, a dispatch run skips the rest: each costs a
+/// search over the upstreams, and the next run starts as soon as capacity becomes free.
+constexpr std::size_t max_failed_placements = 12;
 
 scheduling::scheduler_options health_settings()
 {
     scheduling::scheduler_options options;
-    // A runner that came back is used again within seconds: the calls that find out are few.
+    // Short, so that a recovered upstream is used again within seconds. The requests that probe an
+    // upstream that still fails are few.
     options.ejection_base = std::chrono::milliseconds(400);
     options.ejection_max = std::chrono::milliseconds(3000);
     return options;
 }
 
-std::map<base::service_id, routing::warmup_terms>
-warmup_terms_of(const routing::configuration& from)
+std::map<base::service_id, routing::warmup_limits>
+warmup_limits_of(const routing::configuration& configuration)
 {
-    std::map<base::service_id, routing::warmup_terms> terms;
-    for (const auto& each : from.services)
+    std::map<base::service_id, routing::warmup_limits> terms;
+    for (const auto& service : configuration.services)
     {
-        if (each.warmup_rate > 0)
+        if (service.warmup_rate > 0)
         {
-            terms[each.id] = {.lasts = each.warmup, .rate = each.warmup_rate};
+            terms[service.id] = {.duration = service.warmup, .requests_per_s = service.warmup_rate};
         }
     }
     return terms;
@@ -38,77 +39,82 @@
 }  // namespace
 
 core::core(boost::asio::io_context& event_loop, const base::clock& process_clock,
-           settings process_options, caller_protocol callers, telemetry::line_log& lines)
+           settings process_options, caller_protocol protocol_of_callers,
+           telemetry::line_log& process_log)
     : loop(event_loop), clock(process_clock), options(std::move(process_options)),
-      protocol(std::move(callers)), log(lines), timers(loop, clock), pool(loop, timers),
-      cold(options.name), retries(options.retries), placer({.zone = options.zone}),
-      health_options(health_settings()), health(health_options), random_(std::random_device{}())
+      protocol(std::move(protocol_of_callers)), log(process_log), timers(loop, clock),
+      pool(loop, timers), slow_start(options.name), retries(options.retries),
+      placer({.zone = options.zone}), health_options(health_settings()), health(health_options),
+      random_(std::random_device{}())
 {
     shares.set_window(options.share_window);
 }
 
-bool core::adopt(routing::configuration accepted, std::string_view from)
+bool core::adopt(routing::configuration configuration, std::string_view source)
 {
-    if (accepted.version <= version())
+    if (configuration.version <= version())
     {
         return false;
     }
-    log.line("configuration", {{"version", static_cast<std::uint64_t>(accepted.version)},
+    log.line("configuration", {{"version", static_cast<std::uint64_t>(configuration.version)},
                                {"before", static_cast<std::uint64_t>(version())},
-                               {"from", from},
-                               {"routes", accepted.routes.size()},
-                               {"workspaces", accepted.workspaces.size()}});
-    cold.set_terms(warmup_terms_of(accepted));
-    table_ = std::make_shared<const routing::route_table>(std::move(accepted));
+                               {"from", source},
+                               {"routes", configuration.routes.size()},
+                               {"workspaces", configuration.workspaces.size()}});
+    slow_start.set_limits(warmup_limits_of(configuration));
+    table_ = std::make_shared<const routing::route_table>(std::move(configuration));
     set_share_capacity();
     return true;
 }
 
-bool core::note_zone(const routing::zone_statement& what, std::string_view from)
+bool core::apply_zone_update(const routing::zone_update& update, std::string_view source)
 {
-    const bool known = options.zones.empty() || options.zones.contains(what.zone);
-    if (!known || !directory.note_zone(what))
+    const bool known = options.zones.empty() || options.zones.contains(update.zone);
+    if (!known || !directory.record_zone(update))
     {
         return false;
     }
-    log.line(what.drained ? "zone_drained" : "zone_taken_back",
-             {{"zone", what.zone.str()}, {"from", from}, {"revision", what.revision}});
+    log.line(update.drained ? "zone_drained" : "zone_taken_back",
+             {{"zone", update.zone.str()}, {"from", source}, {"revision", update.revision}});
     set_share_capacity();
-    if (!what.drained)
+    if (!update.drained)
     {
-        // They may have become cold meanwhile, and their entries say so only at their next writing.
-        for (const auto& [id, each] : directory.all())
+        // The upstreams may have become cold while drained, and their table entries show that only
+        // after their next update.
+        for (const auto& [id, upstream] : directory.all())
         {
-            if (each.zone == what.zone)
+            if (upstream.zone == update.zone)
             {
-                note_cold(each, cold.terms_of(each.service).lasts, "zone_taken_back");
+                record_cold(upstream, slow_start.limits_of(upstream.service).duration,
+                            "zone_taken_back");
             }
         }
-        pump();
+        dispatch_waiting();
     }
     return true;
 }
 
-void core::note_cold(const routing::upstream& which, std::chrono::milliseconds left,
-                     std::string_view because)
+void core::record_cold(const routing::upstream& upstream, std::chrono::milliseconds remaining,
+                       std::string_view because)
 {
-    if (cold.note_cold(which, left, now()))
+    if (slow_start.record_cold(upstream, remaining, now()))
     {
-        log.line("upstream_cold",
-                 {{"upstream", which.id.str()}, {"left_ms", left.count()}, {"because", because}});
+        log.line("upstream_cold", {{"upstream", upstream.id.str()},
+                                   {"left_ms", remaining.count()},
+                                   {"because", because}});
     }
 }
 
-void core::note_warm()
+void core::expire_warmups()
 {
-    const auto warm = cold.expire(now());
+    const auto warm = slow_start.expire(now());
     for (const auto& id : warm)
     {
         log.line("upstream_warm", {{"upstream", id.str()}});
     }
     if (!warm.empty())
     {
-        pump();
+        dispatch_waiting();
     }
 }
 
@@ -116,7 +122,7 @@
 {
     if (table_)
     {
-        shares.set_capacity(table_->accepted().tokens_per_second * directory.part_in_use());
+        shares.set_capacity(table_->accepted().tokens_per_second * directory.undrained_fraction());
     }
 }
 
@@ -127,81 +133,83 @@
 
 void core::handle(const std::shared_ptr<http::exchange>& request)
 {
-    ++requests;
+    ++requests_received;
     std::make_shared<request_session>(*this, request)->start();
 }
 
-void core::pump()
+void core::dispatch_waiting()
 {
-    if (pumping_ || line.size() == 0)
+    if (dispatching_ || wait_queue.size() == 0)
     {
         return;
     }
-    pumping_ = true;
-    const auto at = now();
-    const auto order = line.order([&](const auto& id) { return shares.fill(id, at); });
-    std::size_t misses = 0;
+    dispatching_ = true;
+    const auto current_time = now();
+    const auto order =
+        wait_queue.order([&](const auto& id) { return shares.share_used(id, current_time); });
+    std::size_t failed_placements = 0;
     for (const auto id : order)
     {
         const auto found = waiting_.find(id);
         const auto session = found == waiting_.end() ? nullptr : found->second.lock();
         if (!session)
         {
-            stop_waiting(id);
+            dequeue(id);
             continue;
         }
         if (session->try_place())
         {
-            stop_waiting(id);
+            dequeue(id);
             continue;
         }
-        if (++misses >= max_misses)
+        if (++failed_placements >= max_failed_placements)
         {
             break;
         }
     }
-    pumping_ = false;
+    dispatching_ = false;
 }
 
 void core::expire_waiting()
 {
-    for (const auto id : line.take_expired(now()))
+    for (const auto id : wait_queue.take_expired(now()))
     {
         const auto found = waiting_.find(id);
         const auto session = found == waiting_.end() ? nullptr : found->second.lock();
         waiting_.erase(id);
         if (session)
         {
-            session->on_waited_too_long();
+            session->on_wait_expired();
         }
     }
 }
 
-routing::ticket core::wait(const std::shared_ptr<request_session>& session,
-                           const routing::waiting_request& request)
+routing::wait_id core::enqueue(const std::shared_ptr<request_session>& session,
+                               const routing::waiting_request& request)
 {
-    const auto id = line.add(request);
+    const auto id = wait_queue.add(request);
     waiting_[id] = session;
-    timers.at(request.until, [this] { expire_waiting(); });
+    timers.at(request.expires, [this] { expire_waiting(); });
     return id;
 }
 
-void core::stop_waiting(routing::ticket id)
+void core::dequeue(routing::wait_id id)
 {
-    line.remove(id);
+    wait_queue.remove(id);
     waiting_.erase(id);
 }
 
-void core::note_attempt(const base::upstream_id& id, const base::service_id& service,
-                        scheduling::attempt_result result)
+void core::record_attempt_result(const base::upstream_id& id, const base::service_id& service,
+                                 scheduling::attempt_result result)
 {
-    // Only a failure asks how many of the service's upstreams are ejected.
+    // The service's upstreams are needed for a failure only: ejection depends on how many of them
+    // are ejected already.
     std::vector<base::upstream_id> peers;
     if (result != scheduling::attempt_result::done)
     {
-        for (const auto* each : directory.usable(service))
+        for (const auto* upstream : directory.usable(service))
         {
-            peers.push_back(each->id);
+            peers.push_back(upstream->id);
         }
     }
     const bool was_ejected = health.ejected(id, now());
@@ -209,65 +217,67 @@
     const bool is_ejected = health.ejected(id, now());
     if (is_ejected != was_ejected)
     {
-        // Where upstreams fail part of what they get, hundreds of these come a second.
+        // Logged at the limited rate of request lines: upstreams that fail a part of their requests
+        // change state hundreds of times a second.
         log.request_line("upstream_health", {{"upstream", id.str()},
                                              {"ejected", is_ejected},
                                              {"because", scheduling::name(result)}});
     }
 }
 
-void core::note_lost(const base::upstream_id& id, attempts::request_fingerprint request)
+void core::record_lost_connection(const base::upstream_id& id,
+                                  attempts::request_fingerprint request)
 {
-    log_crash(crashes.lost(id, request, now()));
+    log_crash(crashes.record_lost(id, request, now()));
 }
 
-void core::note_unreachable(const base::upstream_id& id)
+void core::record_unreachable(const base::upstream_id& id)
 {
-    log_crash(crashes.unreachable(id, now()));
+    log_crash(crashes.record_unreachable(id, now()));
 }
 
-void core::note_restarted(const base::upstream_id& id, std::chrono::milliseconds born)
+void core::record_restart(const base::upstream_id& id, std::chrono::milliseconds process_start)
 {
-    log.line("upstream_restarted", {{"upstream", id.str()}, {"born", born.count()}});
+    log.line("upstream_restarted", {{"upstream", id.str()}, {"born", process_start.count()}});
     pool.close_all(id);
     placer.forget(id);
     health.forget(id);
-    log_crash(crashes.restarted(id, now()));
-    std::vector<std::shared_ptr<request_session>> there;
-    if (const auto found = at_upstreams_.find(id); found != at_upstreams_.end())
+    log_crash(crashes.record_restarted(id, now()));
+    std::vector<std::shared_ptr<request_session>> affected;
+    if (const auto found = in_flight_.find(id); found != in_flight_.end())
     {
-        for (const auto& [unused, each] : found->second)
+        for (const auto& [unused, session] : found->second)
         {
-            there.push_back(each.lock());
+            affected.push_back(session.lock());
         }
     }
-    const auto alive_for = clock.wall_time().time_since_epoch() - born;
-    for (const auto& each : there)
+    const auto uptime = clock.wall_time().time_since_epoch() - process_start;
+    for (const auto& session : affected)
     {
-        if (each == nullptr)
+        if (session == nullptr)
         {
             continue;
         }
-        each->on_upstream_restarted(std::chrono::duration_cast<base::duration>(alive_for));
+        session->on_upstream_restarted(std::chrono::duration_cast<base::duration>(uptime));
     }
 }
 
-void core::enter_upstream(const base::upstream_id& id, request_session& session)
+void core::track_in_flight(const base::upstream_id& id, request_session& session)
 {
-    at_upstreams_[id][&session] = session.weak_from_this();
+    in_flight_[id][&session] = session.weak_from_this();
 }
 
-void core::leave_upstream(const base::upstream_id& id, request_session& session)
+void core::untrack_in_flight(const base::upstream_id& id, request_session& session)
 {
-    const auto found = at_upstreams_.find(id);
-    if (found == at_upstreams_.end())
+    const auto found = in_flight_.find(id);
+    if (found == in_flight_.end())
     {
         return;
     }
     found->second.erase(&session);
     if (found->second.empty())
     {
-        at_upstreams_.erase(found);
+        in_flight_.erase(found);
     }
 }
 
@@ -280,7 +290,7 @@
     }
 }
 
-double core::draw()
+double core::random_unit()
 {
     return std::uniform_real_distribution<double>(0, 1)(random_);
 }
--- a/src/libcaraway/router/core.hpp
+++ b/src/libcaraway/router/core.hpp
@@ -5,16 +5,16 @@
 #include "libcaraway/metrics/registry.hpp"
 #include "libcaraway/router/ports.hpp"
 #include "libcaraway/router/settings.hpp"
-#include "libcaraway/routing/crash_watch.hpp"
-#include "libcaraway/routing/load_board.hpp"
+#include "libcaraway/routing/crash_tracker.hpp"
+#include "libcaraway/routing/load_tracker.hpp"
 #include "libcaraway/routing/overload_guard.hpp"
 #include "libcaraway/routing/peer_table.hpp"
 #include "libcaraway/routing/placer.hpp"
 #include "libcaraway/routing/refused_requests.hpp"
-#include "libcaraway/routing/retry_ledger.hpp"
+#include "libcaraway/routing/retry_budget.hpp"
 #include "libcaraway/routing/route_table.hpp"
 #include "libcaraway/routing/slow_start.hpp"
-#include "libcaraway/routing/waiting_line.hpp"
+#include "libcaraway/routing/wait_queue.hpp"
 #include "libcaraway/routing/workspace_shares.hpp"
 #include "libcaraway/scheduling/upstream_health.hpp"
 #include "libcaraway/telemetry/line_log.hpp"
@@ -29,65 +29,74 @@
 
 class request_session;
 
-/// With less time left no upstream can do anything for a caller.
-inline constexpr std::chrono::milliseconds least_time{25};
+/// Below this remaining time a request is not sent: no upstream could answer before its deadline.
+inline constexpr std::chrono::milliseconds min_time_left{25};
 
-inline std::chrono::milliseconds milliseconds_of(base::duration span)
+inline std::chrono::milliseconds to_milliseconds(base::duration duration)
 {
-    return std::chrono::duration_cast<std::chrono::milliseconds>(span);
+    return std::chrono::duration_cast<std::chrono::milliseconds>(duration);
 }
 
-/// What requests share: the decisions' state, the connections, the log. One thread only.
+/// State shared by all requests of a router: routing state, connections, timers, metrics, log. Not
+/// thread-safe: used on the event loop's thread only.
 class core
 {
 public:
     core(boost::asio::io_context& event_loop, const base::clock& process_clock,
-         settings process_options, caller_protocol callers, telemetry::line_log& lines);
-
-    /// Puts a newer configuration in force; an older one, or the same, changes nothing: what a
-    /// router has once done it doesn't undo, however late another copy arrives.
-    bool adopt(routing::configuration accepted, std::string_view from);
+         settings process_options, caller_protocol protocol_of_callers,
+         telemetry::line_log& process_log);
+
+    /// Applies the configuration if its version is greater than the current one. An older or equal
+    /// version is ignored, so that a copy that arrives late never reverts the configuration.
+    /// `source` names the store or the peer that sent it. Returns whether it was applied.
+    bool adopt(routing::configuration configuration, std::string_view source);
+    /// Null until the first configuration is applied.
     std::shared_ptr<const routing::route_table> table() const
     {
         return table_;
     }
+    /// 0 until the first configuration is applied.
     base::config_version version() const;
 
-    /// An operator said that an availability zone gets no new requests, or that it does again.
-    /// Whether that is news.
-    bool note_zone(const routing::zone_statement& what, std::string_view from);
-    /// It is cold for so long, as somebody says; 0: it isn't.
-    void note_cold(const routing::upstream& which, std::chrono::milliseconds left,
-                   std::string_view because);
-    /// Those that were cold and aren't any more.
-    void note_warm();
-    /// Shares are of what may be used.
+    /// An operator drained an availability zone (its upstreams get no new requests) or ended the
+    /// drain. Returns false if the zone is unknown or the update changes nothing.
+    bool apply_zone_update(const routing::zone_update& update, std::string_view source);
+    /// The upstream stays cold for the remaining time; 0: it is warm. `because` goes to the log.
+    void record_cold(const routing::upstream& upstream, std::chrono::milliseconds remaining,
+                     std::string_view because);
+    /// Marks upstreams as warm whose warm-up has ended.
+    void expire_warmups();
+    /// Recomputes the capacity that workspaces share: the configured one, less drained zones.
     void set_share_capacity();
 
     void handle(const std::shared_ptr<http::exchange>& request);
-    /// Gives places to those that wait; called when something may have become free.
-    void pump();
-    /// Refuses those that have waited for too long.
+    /// Sends queued requests that find an upstream with room. To be called whenever capacity may
+    /// have become free.
+    void dispatch_waiting();
+    /// Rejects requests whose time in the wait queue has expired.
     void expire_waiting();
 
-    routing::ticket wait(const std::shared_ptr<request_session>& session,
-                         const routing::waiting_request& request);
-    void stop_waiting(routing::ticket id);
-
-    void note_attempt(const base::upstream_id& id, const base::service_id& service,
-                      scheduling::attempt_result result);
-    /// A connection to an upstream ended before the whole answer came, or wasn't made at all.
-    void note_lost(const base::upstream_id& id, attempts::request_fingerprint request);
-    void note_unreachable(const base::upstream_id& id);
-    /// Another process runs under the upstream's id, since `born` by its clock.
-    void note_restarted(const base::upstream_id& id, std::chrono::milliseconds born);
-    /// A request is at the upstream, or no longer.
-    void enter_upstream(const base::upstream_id& id, request_session& session);
-    void leave_upstream(const base::upstream_id& id, request_session& session);
+    routing::wait_id enqueue(const std::shared_ptr<request_session>& session,
+                             const routing::waiting_request& request);
+    void dequeue(routing::wait_id id);
+
+    void record_attempt_result(const base::upstream_id& id, const base::service_id& service,
+                               scheduling::attempt_result result);
+    /// The connection to an upstream was lost before the answer was complete.
+    void record_lost_connection(const base::upstream_id& id, attempts::request_fingerprint request);
+    /// No connection to the upstream could be opened.
+    void record_unreachable(const base::upstream_id& id);
+    /// A new process runs under the upstream's id. `process_start` is its start time since the Unix
+    /// epoch by the upstream's clock.
+    void record_restart(const base::upstream_id& id, std::chrono::milliseconds process_start);
+    /// Adds a request to those in flight at the upstream, or removes it.
+    void track_in_flight(const base::upstream_id& id, request_session& session);
+    void untrack_in_flight(const base::upstream_id& id, request_session& session);
     /// Uniform in [0, 1).
-    double draw();
-    /// Takes in what peers have sent and the loop hasn't come to yet, if that may be old.
-    std::function<void()> hear_peers = [] {
+    double random_unit();
+    /// Processes datagrams of peers that are still unread in the socket, if the state known from
+    /// peers may be stale.
+    std::function<void()> receive_peer_updates = [] {
     };
 
     base::time_point now() const
@@ -104,37 +113,38 @@
     http::upstream_pool pool;
     metrics::registry metrics;
     routing::upstream_directory directory;
-    routing::slow_start cold;
-    routing::load_board board;
+    routing::slow_start slow_start;
+    routing::load_tracker load_tracker;
     routing::workspace_shares shares;
-    routing::waiting_line line;
-    routing::retry_ledger retries;
-    routing::crash_watch crashes;
-    routing::refused_requests refused;
+    routing::wait_queue wait_queue;
+    routing::retry_budget retries;
+    routing::crash_tracker crashes;
+    routing::refused_requests refused_requests;
     routing::overload_guard overload;
-    /// Requests for engines under way: what a router's processor is spent on.
-    std::size_t streams = 0;
+    /// Requests to engines in flight: they take most of a router's CPU time.
+    std::size_t active_streams = 0;
     routing::placer placer;
-    routing::reading_pace pace;
+    routing::prefill_pace prefill_pace;
     scheduling::scheduler_options health_options;
     scheduling::upstream_health health;
-    /// Requests that came in, ever.
-    std::uint64_t requests = 0;
-    /// Pieces of answers passed on, and requests refused as the processor is at its limit, ever.
-    std::uint64_t pieces = 0;
-    std::uint64_t busy_refusals = 0;
-    /// SIGTERM came; new requests are refused from then on.
-    std::optional<base::time_point> refuse_from;
+    /// Total since the process started, as are the next two counts.
+    std::uint64_t requests_received = 0;
+    /// Writes of streamed events to callers.
+    std::uint64_t chunks_relayed = 0;
+    /// Requests rejected because the router's CPU is overloaded.
+    std::uint64_t overload_rejections = 0;
+    /// Set on SIGTERM or SIGINT: new requests are rejected from this time on.
+    std::optional<base::time_point> reject_from;
 
 private:
     void log_crash(const std::optional<attempts::upstream_crash>& crash);
 
     std::shared_ptr<const routing::route_table> table_;
-    std::map<routing::ticket, std::weak_ptr<request_session>> waiting_;
+    std::map<routing::wait_id, std::weak_ptr<request_session>> waiting_;
     std::map<base::upstream_id, std::map<request_session*, std::weak_ptr<request_session>>>
-        at_upstreams_;
+        in_flight_;
     std::mt19937_64 random_;
-    bool pumping_ = false;
+    bool dispatching_ = false;
 };
 
 }  // namespace caraway::router
--- a/src/libcaraway/router/daemon_peers.cpp
+++ b/src/libcaraway/router/daemon_peers.cpp
@@ -1,5 +1,5 @@
-// What a router tells its peers and hears from them: digests, copies of the platform's tables, and
-// who of a zone asks the store.
+// Communication with peers: digests, copies of the platform's tables, and the choice of the routers
+// of a zone that read the tables from the store.
 #include "libcaraway/router/daemon.hpp"
 
 namespace caraway::router
@@ -10,62 +10,64 @@
 
 using std::chrono::milliseconds;
 
-/// How often a peer is asked while this router can't reach the store.
-constexpr milliseconds ask_period{300};
-/// How fast engines read changes within seconds.
-constexpr milliseconds readings_period{1000};
-/// How old a copy for peers may be that says the same of configuration and upstreams: the routers
-/// in it, and up to where it is current.
+/// Time between two requests for a copy of the tables while this router needs one.
+constexpr milliseconds table_request_period{300};
+/// How often prefill speeds are part of a digest; they change within seconds.
+constexpr milliseconds prefill_records_period{1000};
+/// Maximum age of an encoded copy that is reused while configuration and upstreams are unchanged.
+/// The copy's list of routers and its revision may be outdated by that much.
 constexpr milliseconds copy_lifetime{200};
-/// A refused request is told of in so many digests, as datagrams get lost.
-constexpr int told_digests = 2;
+/// Number of digests that report a rejected request, as datagrams get lost.
+constexpr int digests_per_rejection = 2;
 
 }  // namespace
 
-void daemon::ask_peers(base::time_point now)
+void daemon::request_missing_tables(base::time_point now)
 {
-    if (now < next_ask_)
+    if (now < next_table_request_)
     {
         return;
     }
-    next_ask_ = now + ask_period;
+    next_table_request_ = now + table_request_period;
     if (const auto peer = peer_to_ask(now))
     {
-        link_.ask(*peer);
+        link_.request_copy(*peer);
     }
     if (!core_.options.seeds.empty() && link_.unanswered() >= core_.options.seeds.size())
     {
-        relay_.stop_relying();
+        relay_.stop_waiting_for_peers();
     }
 }
 
 std::optional<routing::endpoint> daemon::peer_to_ask(base::time_point now)
 {
-    if (const auto* newer = peers_.newer(core_.version(), now, core_.draw()))
+    if (const auto* newer =
+            peers_.with_newer_configuration(core_.version(), now, core_.random_unit()))
     {
         return newer->control;
     }
-    if (const auto source = upstreams_->resting() ? relay_.source(now) : std::nullopt)
+    if (const auto peer = upstreams_->is_paused() ? relay_.source(now) : std::nullopt)
     {
-        return peers_.all().at(*source).control;
+        return peers_.all().at(*peer).control;
     }
-    const bool lost = upstreams_->lost() || configurations_->lost();
-    if (!lost && knows_all())
+    const bool store_unreachable =
+        upstreams_->store_unreachable() || configurations_->store_unreachable();
+    if (!store_unreachable && has_tables())
     {
         return std::nullopt;
     }
-    if (const auto* fresh = peers_.with_store(now, core_.draw()))
+    if (const auto* fresh = peers_.with_fresh_tables(now, core_.random_unit()))
     {
         return fresh->control;
     }
-    // Nobody that reaches the store is heard: a new VM that the store turns away knows no peer, and
-    // no peer knows it, until a router named in the settings tells of both.
+    // No reachable peer has fresh tables. A new VM that the store rejects has no peer's address,
+    // and no peer has the address of the VM, until a seed exchanges them.
     const auto& seeds = core_.options.seeds;
     if (seeds.empty())
     {
         return std::nullopt;
     }
-    const auto& seed = seeds[seed_++ % seeds.size()];
+    const auto& seed = seeds[next_seed_++ % seeds.size()];
     return seed == core_.options.control ? std::nullopt : std::optional(seed);
 }
 
@@ -75,68 +77,70 @@
     return std::find(seeds.begin(), seeds.end(), core_.options.control) != seeds.end();
 }
 
-void daemon::choose_source(base::time_point now)
+void daemon::choose_table_source(base::time_point now)
 {
-    if (upstreams_->lost())
+    if (upstreams_->store_unreachable())
     {
-        relay_.note_lost(now);
+        relay_.record_store_unreachable(now);
     }
     relay_.set_leaving_notice(core_.options.leaving_notice);
-    const auto own = tables();
-    relay_.set_own(core_.options.capacity, own, knows_all(), now);
-    tell_changes(own.mark);
-    const bool follows = relay_.follows(now);
-    choose_configuration_source(follows);
-    if (follows != upstreams_->resting())
+    const auto own_state = tables();
+    relay_.set_own_state(core_.options.capacity, own_state, has_tables(), now);
+    announce_changes(own_state.content_hash);
+    const bool polls_store = relay_.should_poll_store(now);
+    choose_configuration_source(polls_store);
+    if (polls_store != upstreams_->is_paused())
     {
         return;
     }
-    core_.log.line("store_source", {{"asks_store", follows}, {"revision", upstreams_->revision()}});
-    if (follows)
+    core_.log.line("store_source",
+                   {{"asks_store", polls_store}, {"revision", upstreams_->revision()}});
+    if (polls_store)
     {
-        upstreams_->wake();
+        upstreams_->resume();
     }
     else
     {
-        upstreams_->rest();
+        upstreams_->pause();
     }
-    set_shares_of_limits();
+    update_limits_per_router();
 }
 
-/// A router in a flood takes seconds to ask a peer: four turns of its loop. The store holds a call
-/// and answers it at once when the configuration changes.
-void daemon::choose_configuration_source(bool asks)
+/// An overloaded router needs seconds to request a copy from a peer, which takes four iterations of
+/// its event loop. The store holds a call open and answers it as soon as the configuration changes,
+/// so an overloaded router always calls the store.
+void daemon::choose_configuration_source(bool polls_store)
 {
-    if (asks || core_.overload.busy())
+    if (polls_store || core_.overload.overloaded())
     {
-        configurations_->wake();
+        configurations_->resume();
     }
     else
     {
-        configurations_->rest();
+        configurations_->pause();
     }
 }
 
 routing::table_state daemon::tables() const
 {
-    return {.follows = !upstreams_->resting(),
-            .lost = relay_.lost(core_.now()),
-            .answers = upstreams_->answers(),
+    return {.polls_store = !upstreams_->is_paused(),
+            .store_unreachable = relay_.is_store_unreachable(core_.now()),
+            .answer_count = upstreams_->answers(),
             .revision = upstreams_->revision(),
-            .mark = core_.directory.mark()};
+            .content_hash = core_.directory.content_hash()};
 }
 
-void daemon::tell_changes(std::uint64_t mark)
+void daemon::announce_changes(std::uint64_t mark)
 {
-    const bool tells = !upstreams_->resting() && mark != told_mark_;
-    told_mark_ = mark;
-    if (tells)
+    const bool changed = !upstreams_->is_paused() && mark != announced_mark_;
+    announced_mark_ = mark;
+    if (changed)
     {
-        link_.tell_zone();
+        link_.send_zone_digests();
     }
 }
 
-void daemon::take_routers(const std::vector<row>& rows)
+void daemon::apply_router_rows(const std::vector<row>& rows)
 {
     const auto now = core_.now();
     for (const auto& each : rows)
@@ -147,97 +151,101 @@
             core_.log.line("router_row_unreadable", {{"router", each.key}});
             continue;
         }
-        peers_.introduce(routing::peer_of(decoded.value()), now);
+        peers_.add_discovered(routing::peer_of(decoded.value()), now);
     }
 }
 
-bool daemon::take_copy(const table_copy& copy)
+bool daemon::apply_copy(const table_copy& copy)
 {
     if (copy.version > core_.version())
     {
-        take_configuration(copy.configuration, "peer");
+        apply_configuration(copy.configuration, "peer");
     }
     for (const auto& each : copy.zones)
     {
-        core_.note_zone(each, copy.from.str());
+        core_.apply_zone_update(each, copy.sender.str());
     }
     for (const auto& each : copy.routers)
     {
-        peers_.introduce(each, core_.now());
+        peers_.add_discovered(each, core_.now());
     }
-    const bool resting = upstreams_->resting();
-    const bool newer = resting && copy.state.revision >= upstreams_->revision();
-    const bool needed = newer || upstreams_->lost() || !upstreams_->has_read();
-    const bool tells = copy.partial || !copy.upstreams.empty();
-    if (!needed || !tells)
+    const bool paused = upstreams_->is_paused();
+    const bool newer = paused && copy.state.revision >= upstreams_->revision();
+    const bool needed = newer || upstreams_->store_unreachable() || !upstreams_->has_read();
+    const bool has_upstreams = copy.partial || !copy.upstreams.empty();
+    if (!needed || !has_upstreams)
     {
         return false;
     }
-    core_.log.line("peer_copy", {{"from", copy.from.str()},
+    core_.log.line("peer_copy", {{"from", copy.sender.str()},
                                  {"revision", copy.state.revision},
                                  {"own_revision", upstreams_->revision()},
                                  {"partial", copy.partial},
                                  {"upstreams", copy.upstreams.size()}});
-    const auto whole_at = copy.partial ? std::nullopt : std::optional(copy.state.revision);
-    take_upstreams(copy.upstreams, whole_at, copy.from.str());
-    const bool same = core_.directory.mark() == copy.state.mark;
-    if (copy.partial && !same)
+    const auto listing_revision = copy.partial ? std::nullopt : std::optional(copy.state.revision);
+    apply_upstreams(copy.upstreams, listing_revision, copy.sender.str());
+    const bool upstreams_equal = core_.directory.content_hash() == copy.state.content_hash;
+    if (copy.partial && !upstreams_equal)
     {
-        // Not taken for a copy of it: the next one is whole.
+        // The copy is not recorded as one of the peer's tables, so the next copy is a full one.
         return false;
     }
-    if (resting)
+    if (paused)
     {
         upstreams_->adopt(copy.state.revision);
-        relay_.note_copied(copy.from, copy.state, core_.now());
+        relay_.record_copy(copy.sender, copy.state, core_.now());
     }
-    return same;
+    return upstreams_equal;
 }
 
-/// Some hundred peers ask within a second, at a start or for a new configuration; building the
-/// text for each would take a small VM's processor. Who has the same mark holds the same upstreams.
-const std::string& daemon::copy_for(base::config_version peer_has)
+/// About a hundred peers request a copy within a second when a fleet starts or the configuration
+/// changes; encoding it for each of them would saturate a small VM's processor. The encoded copy is
+/// reused while the mark stays the same, as equal marks mean equal upstreams.
+const std::string& daemon::encoded_copy(base::config_version peer_version)
 {
     const auto now = core_.now();
-    const auto mark = core_.directory.mark();
-    auto& told = peer_has < core_.version() ? told_with_ : told_without_;
-    const bool current = told.version == core_.version() && told.mark == mark &&
-                         now - told.made < copy_lifetime && !told.text.empty();
+    const auto mark = core_.directory.content_hash();
+    auto& cached =
+        peer_version < core_.version() ? copy_with_configuration_ : copy_without_configuration_;
+    const bool current = cached.version == core_.version() && cached.mark == mark &&
+                         now - cached.made < copy_lifetime && !cached.text.empty();
     if (!current)
     {
-        told = {.text = encode(make_copy(peer_has)),
-                .version = core_.version(),
-                .mark = mark,
-                .made = now};
+        cached = {.text = encode(make_copy(peer_version)),
+                  .version = core_.version(),
+                  .mark = mark,
+                  .made = now};
     }
-    return told.text;
+    return cached.text;
 }
 
-table_copy daemon::begin_copy(base::config_version peer_has) const
+table_copy daemon::make_copy_header(base::config_version peer_version) const
 {
-    table_copy copy{.from = core_.options.name,
-                    .at = {.life = life_, .changes = core_.directory.changes().position()},
-                    .version = core_.version(),
-                    .state = tables(),
-                    .zones = core_.directory.zones().statements()};
-    if (peer_has < copy.version)
+    table_copy copy{
+        .sender = core_.options.name,
+        .position = {.incarnation = incarnation_, .changes = core_.directory.changes().position()},
+        .version = core_.version(),
+        .state = tables(),
+        .zones = core_.directory.zones().updates()};
+    if (peer_version < copy.version)
     {
         copy.configuration = configuration_text_;
     }
     return copy;
 }
 
-std::optional<table_copy> daemon::make_partial_copy(base::config_version peer_has,
+std::optional<table_copy> daemon::make_partial_copy(base::config_version peer_version,
                                                     const copy_position& since,
                                                     bool with_routers) const
 {
-    const auto changed =
-        since.life == life_ ? core_.directory.changes().since(since.changes) : std::nullopt;
+    const auto changed = since.incarnation == incarnation_
+                             ? core_.directory.changes().since(since.changes)
+                             : std::nullopt;
     if (!changed)
     {
         return std::nullopt;
     }
-    auto copy = begin_copy(peer_has);
+    auto copy = make_copy_header(peer_version);
     copy.partial = true;
     if (with_routers)
     {
@@ -245,9 +253,9 @@
     }
     for (const auto& id : *changed)
     {
-        const auto known = upstream_rows_.find(id.str());
-        const bool listed = core_.directory.find(id) != nullptr && known != upstream_rows_.end();
-        copy.upstreams.push_back(listed ? known->second
+        const auto stored = upstream_rows_.find(id.str());
+        const bool listed = core_.directory.find(id) != nullptr && stored != upstream_rows_.end();
+        copy.upstreams.push_back(listed ? stored->second
                                         : row{.key = id.str(),
                                               .removed = true,
                                               .revision = core_.directory.revision_of(id)});
@@ -255,11 +263,12 @@
     return copy;
 }
 
-table_copy daemon::make_copy(base::config_version peer_has) const
+table_copy daemon::make_copy(base::config_version peer_version) const
 {
-    auto copy = begin_copy(peer_has);
-    // What the directory believes, not what the store lists: around an outage entries lapse there
-    // that this router still holds, and a peer takes the copy for the whole truth.
+    auto copy = make_copy_header(peer_version);
+    // Contains the upstreams in the directory rather than those listed by the store: around an
+    // outage, entries that this router still holds expire in the store, and the peer treats the
+    // copy as complete.
     for (const auto& [key, each] : upstream_rows_)
     {
         if (core_.directory.find(base::upstream_id(key)) != nullptr)
@@ -273,56 +282,57 @@
 
 std::vector<routing::peer> daemon::known_routers() const
 {
-    std::vector<routing::peer> out;
+    std::vector<routing::peer> routers;
     for (const auto& [id, each] : peers_.all())
     {
-        out.push_back(each);
+        routers.push_back(each);
     }
-    out.push_back(self());
-    return out;
+    routers.push_back(self());
+    return routers;
 }
 
 routing::digest daemon::identity() const
 {
-    const auto& at = core_.options;
-    return {.from = at.name,
-            .life = life_,
-            .zone = at.zone,
-            .callers = at.callers,
-            .control = at.control,
-            .datagrams = at.datagrams};
+    const auto& options = core_.options;
+    return {.sender = options.name,
+            .incarnation = incarnation_,
+            .zone = options.zone,
+            .callers = options.callers,
+            .control = options.control,
+            .datagrams = options.datagrams};
 }
 
 routing::digest daemon::presence() const
 {
-    auto out = identity();
-    out.ready = ready();
-    out.capacity = core_.options.capacity;
-    out.request_rate = request_rate_;
-    return out;
+    auto digest = identity();
+    digest.ready = ready();
+    digest.capacity = core_.options.capacity;
+    digest.request_rate = request_rate_;
+    return digest;
 }
 
 routing::digest daemon::make_digest()
 {
     const auto now = core_.now();
-    auto out = presence();
-    out.number = ++digests_;
-    out.version = core_.version();
-    out.store_held = std::chrono::duration_cast<milliseconds>(upstreams_->held(now));
-    out.loads = core_.board.own();
-    out.usages = core_.shares.own(now);
-    out.suspects = core_.crashes.entries(now);
-    out.refused = core_.refused.told(told_digests * peers_.period(), now);
-    if (now >= next_readings_)
+    auto digest = presence();
+    digest.sequence = ++last_digest_number_;
+    digest.version = core_.version();
+    digest.tables_fresh_for = std::chrono::duration_cast<milliseconds>(upstreams_->fresh_for(now));
+    digest.loads = core_.load_tracker.own_loads();
+    digest.usages = core_.shares.own_usages(now);
+    digest.suspects = core_.crashes.entries(now);
+    digest.refused =
+        core_.refused_requests.recent_own(digests_per_rejection * peers_.digest_period(), now);
+    if (now >= next_prefill_records_)
     {
-        next_readings_ = now + readings_period;
-        core_.pace.refresh(now);
-        out.readings = core_.pace.own(now);
+        next_prefill_records_ = now + prefill_records_period;
+        core_.prefill_pace.refresh(now);
+        digest.prefill_samples = core_.prefill_pace.own_records(now);
     }
-    out.leaving = core_.directory.leaving(now);
-    out.zones = core_.directory.zones().statements();
-    out.tables = tables();
-    return out;
+    digest.leaving = core_.directory.leaving(now);
+    digest.zones = core_.directory.zones().updates();
+    digest.tables = tables();
+    return digest;
 }
 
 routing::peer daemon::self() const
--- /dev/null
+++ b/src/libcaraway/routing/crash_tracker.hpp
@@ -0,0 +1,78 @@
+#pragma once
+
+#include "libcaraway/attempts/crash_detector.hpp"
+#include "libcaraway/attempts/crash_suspects.hpp"
+
+#include <limits>
+
+namespace caraway::routing
+{
+
+struct crash_tracker_options
+{
+    /// Lost connections alone do not count as a crash: running upstreams reset single answers and
+    /// refuse connections beyond their limit. A crash is assumed only if a new connection is
+    /// refused as well, shortly before or after.
+    attempts::crash_detector_options detector{.lost_at_once =
+                                                  std::numeric_limits<std::uint32_t>::max()};
+    /// Three crashes, not two: rack failures and releases take down several upstreams at once, and
+    /// a request that merely ran on two of them must not be refused. The platform lets a request
+    /// reach upstreams up to its third crash and three times after.
+    attempts::crash_options suspects{.refuse_at = 3,
+                                     .always_refuse_at = 3,
+                                     .suspect_for = std::chrono::seconds(120),
+                                     .refuse_for = std::chrono::seconds(300)};
+    /// Entries in one digest, of 30 bytes each; few requests are suspects at a time.
+    std::size_t max_digest_entries = 16;
+};
+
+/// Detects requests that crash every upstream that runs them, across the fleet, and decides when
+/// such a request is refused. No cost without crashes: a request is hashed only if its connection
+/// was lost, or while there are suspects it could match.
+///
+/// Suspects run like other requests until they are refused: quarantining all requests that were in
+/// flight during a crash would delay some thirty requests for each one that caused it.
+class crash_tracker
+{
+public:
+    explicit crash_tracker(const crash_tracker_options& options = {});
+
+    /// Whether any request is a suspect; if not, no request needs a fingerprint.
+    bool has_suspects() const
+    {
+        return suspects_.size() > 0;
+    }
+    bool refuses(attempts::request_fingerprint request, base::time_point now) const;
+
+    /// Records that the connection to the upstream ended before the answer was complete. Returns
+    /// the crash if one is detected.
+    std::optional<attempts::upstream_crash> record_lost(const base::upstream_id& upstream,
+                                                        attempts::request_fingerprint request,
+                                                        base::time_point now);
+    /// Records that a new connection was refused or could not be made. Returns the crash if one is
+    /// detected.
+    std::optional<attempts::upstream_crash> record_unreachable(const base::upstream_id& upstream,
+                                                               base::time_point now);
+    /// Records that another process runs under the id of the upstream. If connections were lost
+    /// shortly before, the previous process crashed, and the crash is returned. The losses are then
+    /// cleared, as later events concern the new process only.
+    std::optional<attempts::upstream_crash> record_restarted(const base::upstream_id& upstream,
+                                                             base::time_point now);
+    /// Records that the complete answer of a request was received.
+    void record_completed(attempts::request_fingerprint request, base::time_point now);
+
+    /// Suspects for the digest to the other routers, at most `max_digest_entries`.
+    std::vector<attempts::suspect_entry> entries(base::time_point now) const;
+    /// Adds the suspects from the digest of another router.
+    void merge(const std::vector<attempts::suspect_entry>& peer_entries, base::time_point now);
+
+private:
+    /// Counts a crash against the requests that were in flight.
+    void attribute(const std::optional<attempts::upstream_crash>& crash, base::time_point now);
+
+    crash_tracker_options options_;
+    attempts::crash_detector detector_;
+    attempts::crash_suspects suspects_;
+};
+
+}  // namespace caraway::routing
--- a/tests/routing/test_drained_zones.cpp
+++ b/tests/routing/test_drained_zones.cpp
@@ -6,7 +6,7 @@
 using namespace std::chrono_literals;
 using routing::drained_zones;
 using routing::upstream_directory;
-using routing::zone_statement;
+using routing::zone_update;
 
 namespace
 {
@@ -15,12 +15,12 @@
 const base::zone_id east("east");
 const base::zone_id west("west");
 
-zone_statement drained(const base::zone_id& zone, std::uint64_t revision)
+zone_update drained(const base::zone_id& zone, std::uint64_t revision)
 {
     return {.zone = zone, .drained = true, .revision = revision};
 }
 
-zone_statement taken_back(const base::zone_id& zone, std::uint64_t revision)
+zone_update restored(const base::zone_id& zone, std::uint64_t revision)
 {
     return {.zone = zone, .drained = false, .revision = revision};
 }
@@ -39,15 +39,15 @@
     void add(const std::string& id, const base::zone_id& zone)
     {
         directory.put({.id = base::upstream_id(id), .service = engines, .zone = zone},
-                      {.revision = 1, .heard = base::time_point(1h)});
+                      {.revision = 1, .received = base::time_point(1h)});
     }
 
     std::string usable() const
     {
         std::string ids;
-        for (const auto* each : directory.usable(engines))
+        for (const auto* upstream : directory.usable(engines))
         {
-            ids += each->id.str() + " ";
+            ids += upstream->id.str() + " ";
         }
         return ids;
     }
@@ -55,87 +55,88 @@
 
 }  // namespace
 
-BOOST_FIXTURE_TEST_SUITE(zones_that_are_drained, fixture)
+BOOST_FIXTURE_TEST_SUITE(drained_availability_zones, fixture)
 
-BOOST_AUTO_TEST_CASE(upstreams_of_a_drained_zone_get_nothing_new)
+BOOST_AUTO_TEST_CASE(upstreams_of_a_drained_zone_get_no_new_requests)
 {
-    BOOST_TEST(directory.note_zone(drained(east, 10)));
+    BOOST_TEST(directory.record_zone(drained(east, 10)));
     BOOST_TEST(usable() == "w1 ");
     BOOST_TEST(!directory.all_drained(engines));
 
-    BOOST_TEST(directory.note_zone(taken_back(east, 11)));
+    BOOST_TEST(directory.record_zone(restored(east, 11)));
     BOOST_TEST(usable() == "e1 e2 w1 ");
 }
 
-BOOST_AUTO_TEST_CASE(an_upstream_that_appears_in_a_drained_zone_gets_nothing)
+BOOST_AUTO_TEST_CASE(a_new_upstream_in_a_drained_zone_gets_no_requests)
 {
-    directory.note_zone(drained(east, 10));
+    directory.record_zone(drained(east, 10));
     add("e3", east);
     BOOST_TEST(usable() == "w1 ");
 }
 
 BOOST_AUTO_TEST_CASE(all_zones_can_be_drained_at_once)
 {
-    directory.note_zone(drained(east, 10));
-    directory.note_zone(drained(west, 11));
+    directory.record_zone(drained(east, 10));
+    directory.record_zone(drained(west, 11));
     BOOST_TEST(usable() == "");
     BOOST_TEST(directory.all_drained(engines));
     BOOST_TEST(!directory.all_drained(base::service_id("none")));
 }
 
-// Guards against a peer's older word that takes a zone back.
-BOOST_AUTO_TEST_CASE(the_statement_of_the_latest_revision_counts)
+// Guards against a peer's stale update that restores a drained zone.
+BOOST_AUTO_TEST_CASE(the_update_of_the_latest_revision_wins)
 {
-    directory.note_zone(drained(east, 10));
-    BOOST_TEST(!directory.note_zone(taken_back(east, 9)));
-    BOOST_TEST(!directory.note_zone(taken_back(east, 10)));
+    directory.record_zone(drained(east, 10));
+    BOOST_TEST(!directory.record_zone(restored(east, 9)));
+    BOOST_TEST(!directory.record_zone(restored(east, 10)));
     BOOST_TEST(usable() == "w1 ");
 
-    directory.note_zone(taken_back(east, 12));
-    BOOST_TEST(!directory.note_zone(drained(east, 11)));
+    directory.record_zone(restored(east, 12));
+    BOOST_TEST(!directory.record_zone(drained(east, 11)));
     BOOST_TEST(usable() == "e1 e2 w1 ");
 }
 
-BOOST_AUTO_TEST_CASE(a_word_that_changes_nothing_is_no_news_but_counts)
+BOOST_AUTO_TEST_CASE(an_update_without_change_still_raises_the_revision)
 {
-    directory.note_zone(drained(east, 10));
-    BOOST_TEST(!directory.note_zone(drained(east, 14)));
-    BOOST_TEST(!directory.note_zone(taken_back(east, 12)));
+    directory.record_zone(drained(east, 10));
+    BOOST_TEST(!directory.record_zone(drained(east, 14)));
+    BOOST_TEST(!directory.record_zone(restored(east, 12)));
     BOOST_TEST(usable() == "w1 ");
 }
 
-// Guards against a zone that stays drained, as its row went while nobody could follow the store.
-BOOST_AUTO_TEST_CASE(a_listing_takes_back_what_it_lacks)
+// Guards against a zone that stays drained because its row was removed while no router could poll
+// the store.
+BOOST_AUTO_TEST_CASE(a_listing_restores_the_zones_that_it_lacks)
 {
     drained_zones zones;
-    zones.note(drained(east, 10));
-    zones.note(drained(west, 11));
+    zones.record(drained(east, 10));
+    zones.record(drained(west, 11));
 
-    const auto gone = zones.missing({west}, 20);
-    BOOST_TEST((gone == std::vector<zone_statement>{taken_back(east, 20)}));
-    BOOST_TEST(zones.note(gone.front()));
+    const auto updates = zones.unlisted_updates({west}, 20);
+    BOOST_TEST((updates == std::vector<zone_update>{restored(east, 20)}));
+    BOOST_TEST(zones.record(updates.front()));
     BOOST_TEST(!zones.contains(east));
     BOOST_TEST(zones.contains(west));
 }
 
-BOOST_AUTO_TEST_CASE(an_old_listing_takes_nothing_back)
+BOOST_AUTO_TEST_CASE(a_stale_listing_restores_no_zone)
 {
     drained_zones zones;
-    zones.note(drained(east, 10));
-    for (const auto& each : zones.missing({}, 8))
+    zones.record(drained(east, 10));
+    for (const auto& update : zones.unlisted_updates({}, 8))
     {
-        BOOST_TEST(!zones.note(each));
+        BOOST_TEST(!zones.record(update));
     }
     BOOST_TEST(zones.contains(east));
 }
 
-BOOST_AUTO_TEST_CASE(the_part_in_use_is_of_upstreams_that_stay)
+BOOST_AUTO_TEST_CASE(the_undrained_fraction_excludes_draining_upstreams)
 {
     directory.put(
         {.id = base::upstream_id("e2"), .service = engines, .zone = east, .draining = true},
-        {.revision = 2, .heard = base::time_point(1h)});
-    directory.note_zone(drained(east, 10));
-    BOOST_TEST(directory.part_in_use() == 0.5);
+        {.revision = 2, .received = base::time_point(1h)});
+    directory.record_zone(drained(east, 10));
+    BOOST_TEST(directory.undrained_fraction() == 0.5);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/routing/test_refused_requests.cpp
+++ b/tests/routing/test_refused_requests.cpp
@@ -6,7 +6,7 @@
 using namespace caraway;
 using namespace std::chrono_literals;
 using routing::refused_requests;
-using routing::request_mark;
+using routing::request_fingerprint;
 
 namespace
 {
@@ -14,63 +14,63 @@
 const base::workspace_id flooding("flooding");
 const base::workspace_id small("small");
 const base::time_point now(1h);
-constexpr request_mark request{7};
+constexpr request_fingerprint fingerprint{7};
 
 }  // namespace
 
-BOOST_AUTO_TEST_SUITE(returned_requests)
+BOOST_AUTO_TEST_SUITE(resubmitted_requests)
 
-BOOST_AUTO_TEST_CASE(what_was_refused_is_known_for_as_long_as_callers_wait)
+BOOST_AUTO_TEST_CASE(a_refusal_is_remembered_for_as_long_as_callers_wait)
 {
     refused_requests refused;
-    BOOST_TEST(!refused.knows(request, now));
-    refused.add(request, now);
+    BOOST_TEST(!refused.contains(fingerprint, now));
+    refused.add(fingerprint, now);
 
-    BOOST_TEST(refused.knows(request, now + 5s));
-    BOOST_TEST(!refused.knows(request, now + 6s));
-    refused.add(request_mark{8}, now + 7s);
+    BOOST_TEST(refused.contains(fingerprint, now + 5s));
+    BOOST_TEST(!refused.contains(fingerprint, now + 6s));
+    refused.add(request_fingerprint{8}, now + 7s);
     BOOST_TEST(refused.size() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(a_peer_that_was_told_knows_it_too_and_tells_nobody)
+BOOST_AUTO_TEST_CASE(a_peer_knows_refusals_from_digests_and_does_not_relay_them)
 {
     refused_requests here;
     refused_requests there;
-    here.add(request, now);
-    there.merge(here.told(200ms, now + 100ms), now + 100ms);
+    here.add(fingerprint, now);
+    there.merge(here.recent_own(200ms, now + 100ms), now + 100ms);
 
-    BOOST_TEST(there.knows(request, now + 1s));
-    BOOST_TEST(there.told(200ms, now + 100ms).empty());
-    BOOST_TEST(here.told(200ms, now + 200ms).empty());
+    BOOST_TEST(there.contains(fingerprint, now + 1s));
+    BOOST_TEST(there.recent_own(200ms, now + 100ms).empty());
+    BOOST_TEST(here.recent_own(200ms, now + 200ms).empty());
 }
 
-// Symptom: a flooding workspace's answers were late though it got its whole share.
-// Sequence: most of its requests were refused and came back a second later; what it was still due
-// went to fresh and to returned ones alike, and those that returned are late before they begin.
-// Cause: a returned request looked like a fresh one.
-BOOST_AUTO_TEST_CASE(a_returned_request_stands_behind_the_fresh_ones_that_ask_for_the_whole_share)
+// Guards against treating resubmitted requests like fresh ones. Most requests of a flooding
+// workspace were refused and sent again a second later, and its remaining share went to fresh and
+// resubmitted requests alike. As resubmitted requests are late before they start, the workspace's
+// answers were late although it got its whole share.
+BOOST_AUTO_TEST_CASE(a_resubmitted_request_yields_to_fresh_ones_that_demand_the_whole_share)
 {
-    routing::workspace_shares shares({.window = 4000ms, .refresh = 0ms});
+    routing::workspace_shares shares({.window = 4000ms, .refresh_interval = 0ms});
     shares.set_capacity(1000);
-    shares.count_asked(flooding, 20000, now);
-    shares.count_served(flooding, 1000, now);
-    shares.count_asked(small, 500, now);
-    shares.count_served(small, 500, now);
+    shares.record_demand(flooding, 20000, now);
+    shares.record_served(flooding, 1000, now);
+    shares.record_demand(small, 500, now);
+    shares.record_served(small, 500, now);
 
-    BOOST_TEST(shares.of(flooding, false, now).fill < 1);
-    BOOST_TEST(shares.of(flooding, true, now).fill >= 1);
-    BOOST_TEST(shares.of(flooding, true, now).ahead > 0);
+    BOOST_TEST(shares.status(flooding, false, now).share_used < 1);
+    BOOST_TEST(shares.status(flooding, true, now).share_used >= 1);
+    BOOST_TEST(shares.status(flooding, true, now).excess_ratio > 0);
 }
 
-BOOST_AUTO_TEST_CASE(a_workspace_that_asks_less_than_its_share_may_return)
+BOOST_AUTO_TEST_CASE(requests_of_a_workspace_within_its_share_may_be_resubmitted)
 {
-    routing::workspace_shares shares({.window = 4000ms, .refresh = 0ms});
+    routing::workspace_shares shares({.window = 4000ms, .refresh_interval = 0ms});
     shares.set_capacity(1000);
-    shares.count_asked(flooding, 20000, now);
-    shares.count_asked(small, 500, now);
+    shares.record_demand(flooding, 20000, now);
+    shares.record_demand(small, 500, now);
 
-    BOOST_TEST(shares.of(small, true, now).fill < 1);
-    BOOST_TEST(shares.of(small, true, now).ahead == 0);
+    BOOST_TEST(shares.status(small, true, now).share_used < 1);
+    BOOST_TEST(shares.status(small, true, now).excess_ratio == 0);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
