--- a/src/carawayd/control/scheduler_host.cpp
+++ b/src/carawayd/control/scheduler_host.cpp
@@ -172,7 +172,7 @@
     }
     const entry over = found->second;
     requests_.erase(found);
-    over.from->post_give_up(end.request, end.why);
+    over.from->post_give_up(end.request, end.answer);
 }
 
 void scheduler_host::carry_out(caraway::scheduling::send_message& send)
--- a/src/libcaraway/scheduling/actions.hpp
+++ b/src/libcaraway/scheduling/actions.hpp
@@ -36,7 +36,7 @@
 struct give_up
 {
     base::request_number request{};
-    rejection why;
+    rejection answer;
 };
 
 /// Send a message to another router; it may get lost.
--- a/src/libcaraway/scheduling/demand_board.cpp
+++ b/src/libcaraway/scheduling/demand_tracker.cpp
@@ -1,4 +1,4 @@
-#include "libcaraway/scheduling/demand_board.hpp"
+#include "libcaraway/scheduling/demand_tracker.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -6,8 +6,8 @@
 namespace caraway::scheduling
 {
 
-bool demand_board::put(const base::node_ref& router, const router_report& report,
-                       base::time_point now)
+bool demand_tracker::record_report(const base::node_ref& router, const router_report& report,
+                                   base::time_point now)
 {
     const auto known = entries_.find(router);
     if (known != entries_.end() && report.sequence <= known->second.report.sequence)
@@ -24,7 +24,7 @@
     return true;
 }
 
-void demand_board::forget_demand(const base::node_ref& router)
+void demand_tracker::clear_demand(const base::node_ref& router)
 {
     const auto found = entries_.find(router);
     if (found != entries_.end())
@@ -33,7 +33,7 @@
     }
 }
 
-std::vector<base::node_ref> demand_board::expire(base::duration age, base::time_point now)
+std::vector<base::node_ref> demand_tracker::expire(base::duration age, base::time_point now)
 {
     std::vector<base::node_ref> silent;
     for (auto& [router, each] : entries_)
@@ -49,23 +49,23 @@
     return silent;
 }
 
-void demand_board::retain(const std::function<bool(const base::node_ref&)>& alive)
+void demand_tracker::retain(const std::function<bool(const base::node_ref&)>& alive)
 {
     std::erase_if(entries_, [&](const auto& each) { return !alive(each.first); });
 }
 
-const demand_board::entry* demand_board::find(const base::node_ref& router) const
+const demand_tracker::entry* demand_tracker::find(const base::node_ref& router) const
 {
     const auto found = entries_.find(router);
     return found == entries_.end() ? nullptr : &found->second;
 }
 
-const std::map<base::node_ref, demand_board::entry>& demand_board::all() const
+const std::map<base::node_ref, demand_tracker::entry>& demand_tracker::all() const
 {
     return entries_;
 }
 
-std::vector<account> demand_board::demanded() const
+std::vector<account> demand_tracker::accounts_with_demand() const
 {
     std::set<account> keys;
     for (const auto& [router, each] : entries_)
@@ -78,7 +78,7 @@
     return {keys.begin(), keys.end()};
 }
 
-bool demand_board::has_demand(const base::service_id& service) const
+bool demand_tracker::has_demand(const base::service_id& service) const
 {
     return std::any_of(entries_.begin(), entries_.end(),
                        [&](const auto& each)
@@ -90,7 +90,7 @@
                        });
 }
 
-std::uint32_t demand_board::waiting(const account& key) const
+std::uint32_t demand_tracker::waiting(const account& key) const
 {
     std::uint32_t sum = 0;
     for (const auto& [router, each] : entries_)
--- a/src/libcaraway/scheduling/demand_board.hpp
+++ b/src/libcaraway/scheduling/demand_tracker.hpp
@@ -13,7 +13,7 @@
 {
 
 /// What each router told this owner last.
-class demand_board
+class demand_tracker
 {
 public:
     struct entry
@@ -25,9 +25,10 @@
     };
 
     /// False if it is not newer than what is known.
-    bool put(const base::node_ref& router, const router_report& report, base::time_point now);
+    bool record_report(const base::node_ref& router, const router_report& report,
+                       base::time_point now);
     /// A router didn't answer: nothing more is granted to it until it reports again.
-    void forget_demand(const base::node_ref& router);
+    void clear_demand(const base::node_ref& router);
     /// Routers that have something running but haven't said so for `age`; it is forgotten.
     std::vector<base::node_ref> expire(base::duration age, base::time_point now);
     void retain(const std::function<bool(const base::node_ref&)>& alive);
@@ -35,7 +36,7 @@
     /// Null if that router hasn't reported.
     const entry* find(const base::node_ref& router) const;
     const std::map<base::node_ref, entry>& all() const;
-    std::vector<account> demanded() const;
+    std::vector<account> accounts_with_demand() const;
     bool has_demand(const base::service_id& service) const;
     std::uint32_t waiting(const account& key) const;
 
--- a/src/libcaraway/scheduling/fleet_view.cpp
+++ b/src/libcaraway/scheduling/fleet_view.cpp
@@ -55,7 +55,7 @@
     rebuild_members(members_);
 }
 
-bool fleet_view::complete() const
+bool fleet_view::members_known() const
 {
     return complete_;
 }
@@ -137,7 +137,7 @@
     return aggregators_.emplace(key, std::move(chosen)).first->second;
 }
 
-base::slots fleet_view::own_part(const base::upstream_id& upstream, base::slots window) const
+base::slots fleet_view::own_window(const base::upstream_id& upstream, base::slots window) const
 {
     if (!fixed_parts())
     {
--- a/src/libcaraway/scheduling/fleet_view.hpp
+++ b/src/libcaraway/scheduling/fleet_view.hpp
@@ -27,7 +27,7 @@
     void set_self_leaving(bool leaving);
     /// Whether members have been set at all. Until then this node knows only itself, and would own
     /// everything: started anew in a running fleet, it would fill all upstreams a second time.
-    bool complete() const;
+    bool members_known() const;
     void set_upstreams(const std::map<base::upstream_id, config::upstream>& upstreams);
 
     const base::node_ref& self() const;
@@ -42,7 +42,7 @@
     /// The nodes that add up an account, the first preferred; at most two.
     const std::vector<base::node_ref>& aggregators(const account& key) const;
     /// The part of an upstream's window that this node has under a policy of fixed parts; else all.
-    base::slots own_part(const base::upstream_id& upstream, base::slots window) const;
+    base::slots own_window(const base::upstream_id& upstream, base::slots window) const;
 
     /// Equal on two nodes if all of the above is.
     std::uint64_t hash() const;
--- a/src/libcaraway/scheduling/floor_board.cpp
+++ b/src/libcaraway/scheduling/floor_tracker.cpp
@@ -1,4 +1,4 @@
-#include "libcaraway/scheduling/floor_board.hpp"
+#include "libcaraway/scheduling/floor_tracker.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -6,7 +6,7 @@
 namespace caraway::scheduling
 {
 
-void floor_board::raise(const base::service_id& service, base::virtual_time floor)
+void floor_tracker::raise(const base::service_id& service, base::virtual_time floor)
 {
     if (!std::isfinite(floor.value()))
     {
@@ -16,7 +16,7 @@
     known = std::max(known, floor);
 }
 
-void floor_board::merge(const std::vector<service_floor>& floors)
+void floor_tracker::merge(const std::vector<service_floor>& floors)
 {
     for (const auto& each : floors)
     {
@@ -24,13 +24,13 @@
     }
 }
 
-base::virtual_time floor_board::at(const base::service_id& service) const
+base::virtual_time floor_tracker::at(const base::service_id& service) const
 {
     const auto found = floors_.find(service);
     return found == floors_.end() ? base::virtual_time{} : found->second;
 }
 
-std::vector<service_floor> floor_board::all() const
+std::vector<service_floor> floor_tracker::all() const
 {
     std::vector<service_floor> floors;
     for (const auto& [service, floor] : floors_)
--- a/src/libcaraway/scheduling/floor_board.hpp
+++ b/src/libcaraway/scheduling/floor_tracker.hpp
@@ -11,7 +11,7 @@
 /// How far each service's virtual time has come, as the largest that anyone has told: the least
 /// virtual time among the backlogged, at the grant where it was highest. An account that was idle
 /// starts there, whether or not others are backlogged at the moment.
-class floor_board
+class floor_tracker
 {
 public:
     void raise(const base::service_id& service, base::virtual_time floor);
--- a/src/libcaraway/scheduling/grant_picker.cpp
+++ b/src/libcaraway/scheduling/grant_picker.cpp
@@ -8,7 +8,7 @@
 {
 
 grant_picker::grant_picker(const node_context& context, const totals_role& totals,
-                           const demand_board& board, const grant_sender& sender,
+                           const demand_tracker& board, const grant_sender& sender,
                            const slot_ledger& ledger, const prefix_affinity& affinity)
     : context_(context), totals_(totals), board_(board), sender_(sender), ledger_(ledger),
       affinity_(affinity)
--- a/src/libcaraway/scheduling/grant_picker.hpp
+++ b/src/libcaraway/scheduling/grant_picker.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "libcaraway/base/clock.hpp"
-#include "libcaraway/scheduling/demand_board.hpp"
+#include "libcaraway/scheduling/demand_tracker.hpp"
 #include "libcaraway/scheduling/grant_sender.hpp"
 #include "libcaraway/scheduling/node_context.hpp"
 #include "libcaraway/scheduling/prefix_affinity.hpp"
@@ -35,8 +35,8 @@
     using offer_rule =
         std::function<bool(const base::node_ref&, const base::upstream_id&, const account&)>;
 
-    grant_picker(const node_context& context, const totals_role& totals, const demand_board& board,
-                 const grant_sender& sender, const slot_ledger& ledger,
+    grant_picker(const node_context& context, const totals_role& totals,
+                 const demand_tracker& board, const grant_sender& sender, const slot_ledger& ledger,
                  const prefix_affinity& affinity);
 
     std::optional<pick> next(const base::service_id& service, const offer_rule& may_offer,
@@ -58,7 +58,7 @@
 
     const node_context& context_;
     const totals_role& totals_;
-    const demand_board& board_;
+    const demand_tracker& board_;
     const grant_sender& sender_;
     const slot_ledger& ledger_;
     const prefix_affinity& affinity_;
--- a/src/libcaraway/scheduling/owner_role.cpp
+++ b/src/libcaraway/scheduling/owner_role.cpp
@@ -57,7 +57,8 @@
 void owner_role::receive(const base::node_ref& router, const router_report& report,
                          base::time_point now)
 {
-    if (report.owner_life != context_.view.self().life || !board_.put(router, report, now))
+    if (report.owner_life != context_.view.self().life ||
+        !board_.record_report(router, report, now))
     {
         ++context_.counters.messages_dropped;
         return;
@@ -131,7 +132,7 @@
     {
         ++context_.counters.grants_reclaimed;
         take_back(router, given);
-        board_.forget_demand(router);
+        board_.clear_demand(router);
     }
     const auto longest = reports_missed * context_.options.report_slow_refresh;
     const auto silent = board_.expire(longest, now);
@@ -157,7 +158,7 @@
             const auto number = sender_.add(found->router, found->upstream, found->key, now);
             ledger_.add_grant(found->upstream);
             totals_.pending().add(found->router, number, found->key, found->estimate, now);
-            affinity_.note(found->affinity, found->upstream);
+            affinity_.record(found->affinity, found->upstream);
             ++context_.counters.grants_made;
         }
     }
@@ -251,7 +252,7 @@
 
 std::vector<account> owner_role::demanded() const
 {
-    return board_.demanded();
+    return board_.accounts_with_demand();
 }
 
 void owner_role::fill(scheduler_snapshot& out, base::time_point now) const
--- a/src/libcaraway/scheduling/owner_role.hpp
+++ b/src/libcaraway/scheduling/owner_role.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "libcaraway/scheduling/demand_board.hpp"
+#include "libcaraway/scheduling/demand_tracker.hpp"
 #include "libcaraway/scheduling/grant_picker.hpp"
 #include "libcaraway/scheduling/grant_sender.hpp"
 #include "libcaraway/scheduling/node_context.hpp"
@@ -53,7 +53,7 @@
 
     node_context& context_;
     totals_role& totals_;
-    demand_board board_;
+    demand_tracker board_;
     slot_ledger ledger_;
     grant_sender sender_;
     prefix_affinity affinity_;
--- a/src/libcaraway/scheduling/prefix_affinity.cpp
+++ b/src/libcaraway/scheduling/prefix_affinity.cpp
@@ -5,7 +5,7 @@
 
 prefix_affinity::prefix_affinity(std::size_t capacity) : capacity_(capacity) {}
 
-void prefix_affinity::note(std::uint64_t prefix, const base::upstream_id& upstream)
+void prefix_affinity::record(std::uint64_t prefix, const base::upstream_id& upstream)
 {
     if (prefix == 0 || capacity_ == 0)
     {
--- a/src/libcaraway/scheduling/prefix_affinity.hpp
+++ b/src/libcaraway/scheduling/prefix_affinity.hpp
@@ -17,7 +17,7 @@
 public:
     explicit prefix_affinity(std::size_t capacity);
 
-    void note(std::uint64_t prefix, const base::upstream_id& upstream);
+    void record(std::uint64_t prefix, const base::upstream_id& upstream);
     /// Null if unknown; 0 stands for no prefix and is never known.
     const base::upstream_id* find(std::uint64_t prefix) const;
 
--- a/src/libcaraway/scheduling/router_role.cpp
+++ b/src/libcaraway/scheduling/router_role.cpp
@@ -226,7 +226,7 @@
     ++next->attempts;
     ++context_.counters.started;
     rates_.note_start(key, now);
-    affinity_.note(next->affinity, given.upstream);
+    affinity_.record(next->affinity, given.upstream);
     const auto fallback = context_.directory.default_cost(key.service);
     const auto estimate = estimator_.estimate(key, next->hint, fallback);
     const auto first = estimator_.charge(key.service, estimate, {}, fallback);
@@ -358,7 +358,7 @@
         ++context_.counters.given_up;
         const auto key = account_of(late);
         context_.out.push(
-            give_up{.request = late.number, .why = admission_.deadline_passed(key, now)});
+            give_up{.request = late.number, .answer = admission_.deadline_passed(key, now)});
         demand_changed(key, change::shrank, false, now);
     }
 }
@@ -396,7 +396,7 @@
     auto report = make_report(owner, now);
     const bool empty = report.demands.empty() && report.holdings.empty();
     report.sequence = reports_.sent(owner, empty, now);
-    if (told_.may_leave_out(owner, report.demands, now))
+    if (told_.may_omit(owner, report.demands, now))
     {
         report.demands.clear();
         report.demands_kept = true;
--- a/src/libcaraway/scheduling/router_role.hpp
+++ b/src/libcaraway/scheduling/router_role.hpp
@@ -11,7 +11,7 @@
 #include "libcaraway/scheduling/request_queues.hpp"
 #include "libcaraway/scheduling/retry_budget.hpp"
 #include "libcaraway/scheduling/service_rate.hpp"
-#include "libcaraway/scheduling/told_demands.hpp"
+#include "libcaraway/scheduling/synced_demands.hpp"
 #include "libcaraway/scheduling/totals_role.hpp"
 #include "libcaraway/scheduling/upstream_health.hpp"
 
@@ -82,7 +82,7 @@
     std::map<base::request_number, ended> ended_;
     ask_planner asks_;
     report_schedule reports_;
-    told_demands told_;
+    synced_demands told_;
     grant_receiver grants_;
     cost_estimator estimator_;
     upstream_health health_;
--- a/src/libcaraway/scheduling/slot_ledger.cpp
+++ b/src/libcaraway/scheduling/slot_ledger.cpp
@@ -20,7 +20,7 @@
 void slot_ledger::view_changed(base::time_point now)
 {
     const auto& view = context_.view;
-    if (!view.complete())
+    if (!view.members_known())
     {
         return;
     }
@@ -194,7 +194,7 @@
 
 base::slots slot_ledger::window_of(const base::upstream_id& id, const slot_book& book) const
 {
-    return context_.view.own_part(id, book.window.size());
+    return context_.view.own_window(id, book.window.size());
 }
 
 }  // namespace caraway::scheduling
--- a/src/libcaraway/scheduling/told_demands.cpp
+++ b/src/libcaraway/scheduling/synced_demands.cpp
@@ -1,4 +1,4 @@
-#include "libcaraway/scheduling/told_demands.hpp"
+#include "libcaraway/scheduling/synced_demands.hpp"
 
 #include <algorithm>
 
@@ -20,10 +20,10 @@
 
 }  // namespace
 
-told_demands::told_demands(base::duration refresh) : refresh_(refresh) {}
+synced_demands::synced_demands(base::duration refresh) : refresh_(refresh) {}
 
-bool told_demands::may_leave_out(const base::node_ref& owner, const std::vector<demand>& demands,
-                                 base::time_point now)
+bool synced_demands::may_omit(const base::node_ref& owner, const std::vector<demand>& demands,
+                              base::time_point now)
 {
     const auto known = owners_.find(owner);
     const bool fresh = known != owners_.end() && now - known->second.at < refresh_;
@@ -37,7 +37,7 @@
     return false;
 }
 
-void told_demands::retain(const std::function<bool(const base::node_ref&)>& alive)
+void synced_demands::retain(const std::function<bool(const base::node_ref&)>& alive)
 {
     std::erase_if(owners_, [&alive](const auto& each) { return !alive(each.first); });
 }
--- a/src/libcaraway/scheduling/total_aggregator.cpp
+++ b/src/libcaraway/scheduling/total_aggregator.cpp
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-total_aggregator::total_aggregator(node_context& context, floor_board& floors)
+total_aggregator::total_aggregator(node_context& context, floor_tracker& floors)
     : context_(context), floors_(floors)
 {
 }
--- a/src/libcaraway/scheduling/total_aggregator.hpp
+++ b/src/libcaraway/scheduling/total_aggregator.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "libcaraway/base/clock.hpp"
-#include "libcaraway/scheduling/floor_board.hpp"
+#include "libcaraway/scheduling/floor_tracker.hpp"
 #include "libcaraway/scheduling/messages.hpp"
 #include "libcaraway/scheduling/node_context.hpp"
 
@@ -17,7 +17,7 @@
 class total_aggregator
 {
 public:
-    total_aggregator(node_context& context, floor_board& floors);
+    total_aggregator(node_context& context, floor_tracker& floors);
 
     /// Takes in a report. Returns the sums that its sender wants or must know (a newer epoch);
     /// nothing if there are none or the report is old.
@@ -47,7 +47,7 @@
     void note_asked(const base::node_ref& by, base::time_point now);
 
     node_context& context_;
-    floor_board& floors_;
+    floor_tracker& floors_;
     std::map<account, aggregate> accounts_;
     std::map<base::node_ref, std::uint64_t> sequences_;
     /// When each node asked last, to tell how many do.
--- a/src/libcaraway/scheduling/totals_role.hpp
+++ b/src/libcaraway/scheduling/totals_role.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "libcaraway/scheduling/aggregator_links.hpp"
-#include "libcaraway/scheduling/floor_board.hpp"
+#include "libcaraway/scheduling/floor_tracker.hpp"
 #include "libcaraway/scheduling/node_context.hpp"
 #include "libcaraway/scheduling/pending_charges.hpp"
 #include "libcaraway/scheduling/service_totals.hpp"
@@ -64,7 +64,7 @@
     void send(const base::node_ref& aggregator, const errand& each, base::time_point now);
 
     node_context& context_;
-    floor_board floors_;
+    floor_tracker floors_;
     service_totals totals_;
     total_aggregator aggregator_;
     aggregator_links links_;
--- a/tests/scheduling/fleet.cpp
+++ b/tests/scheduling/fleet.cpp
@@ -317,7 +317,7 @@
         else if (const auto* over = std::get_if<give_up>(&next))
         {
             leave_queue(index, over->request, fate::given_up);
-            given_up_.push_back(over->why);
+            given_up_.push_back(over->answer);
         }
     }
 }
--- a/tests/scheduling/told_demands_test.cpp
+++ b/tests/scheduling/synced_demands_test.cpp
@@ -1,5 +1,5 @@
-#include "libcaraway/scheduling/demand_board.hpp"
-#include "libcaraway/scheduling/told_demands.hpp"
+#include "libcaraway/scheduling/demand_tracker.hpp"
+#include "libcaraway/scheduling/synced_demands.hpp"
 
 #include <boost/test/unit_test.hpp>
 
@@ -28,18 +28,18 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_SUITE(told_demand)
+BOOST_AUTO_TEST_SUITE(synced_demand)
 
 // Symptom: control traffic of 87 KB/s a node under backlog. Sequence: each start and end of a
 // request is reported to its owner. Cause: each report repeats every backlogged workspace's demand.
 BOOST_AUTO_TEST_CASE(a_backlog_is_told_once_a_refresh)
 {
-    told_demands told(250ms);
-    BOOST_TEST(!told.may_leave_out(owner, waiting(16), start));
-    BOOST_TEST(told.may_leave_out(owner, waiting(16), start + 10ms));
-    BOOST_TEST(told.may_leave_out(owner, waiting(9), start + 20ms));
-    BOOST_TEST(!told.may_leave_out(owner, waiting(16), start + 250ms));
-    BOOST_TEST(told.may_leave_out(owner, waiting(16), start + 260ms));
+    synced_demands told(250ms);
+    BOOST_TEST(!told.may_omit(owner, waiting(16), start));
+    BOOST_TEST(told.may_omit(owner, waiting(16), start + 10ms));
+    BOOST_TEST(told.may_omit(owner, waiting(9), start + 20ms));
+    BOOST_TEST(!told.may_omit(owner, waiting(16), start + 250ms));
+    BOOST_TEST(told.may_omit(owner, waiting(16), start + 260ms));
 }
 
 // Symptom: an owner grants more than there are requests, and slots idle for a round trip. Sequence:
@@ -47,28 +47,28 @@
 // mattered.
 BOOST_AUTO_TEST_CASE(what_an_owner_must_know_is_told_at_once)
 {
-    told_demands told(250ms);
-    BOOST_TEST(!told.may_leave_out(owner, waiting(16), start));
-    BOOST_TEST(!told.may_leave_out(owner, waiting(7), start));
-    BOOST_TEST(!told.may_leave_out(owner, waiting(3), start));
-    BOOST_TEST(!told.may_leave_out(owner, waiting(2), start));
-    BOOST_TEST(!told.may_leave_out(owner, {}, start));
-    BOOST_TEST(!told.may_leave_out(owner, waiting(1), start));
-    BOOST_TEST(!told.may_leave_out(router, waiting(1), start));
+    synced_demands told(250ms);
+    BOOST_TEST(!told.may_omit(owner, waiting(16), start));
+    BOOST_TEST(!told.may_omit(owner, waiting(7), start));
+    BOOST_TEST(!told.may_omit(owner, waiting(3), start));
+    BOOST_TEST(!told.may_omit(owner, waiting(2), start));
+    BOOST_TEST(!told.may_omit(owner, {}, start));
+    BOOST_TEST(!told.may_omit(owner, waiting(1), start));
+    BOOST_TEST(!told.may_omit(router, waiting(1), start));
 }
 
 // Symptom: a workspace with waiting requests gets nothing. Sequence: a report without demand
 // replaces one with it. Cause: left out is taken for none.
 BOOST_AUTO_TEST_CASE(demand_that_was_left_out_stays_known)
 {
-    demand_board board;
+    demand_tracker board;
     const account key{.service = base::service_id("planner"),
                       .workspace = base::workspace_id("north")};
-    BOOST_TEST(board.put(router, report(1, waiting(16), false), start));
-    BOOST_TEST(board.put(router, report(2, {}, true), start + 10ms));
+    BOOST_TEST(board.record_report(router, report(1, waiting(16), false), start));
+    BOOST_TEST(board.record_report(router, report(2, {}, true), start + 10ms));
     BOOST_TEST(board.waiting(key) == 16U);
     BOOST_TEST((board.find(router)->demands_received == start));
-    BOOST_TEST(board.put(router, report(3, {}, false), start + 20ms));
+    BOOST_TEST(board.record_report(router, report(3, {}, false), start + 20ms));
     BOOST_TEST(board.waiting(key) == 0U);
 }
 
