--- a/src/libcaraway/scheduling/actions.hpp
+++ b/src/libcaraway/scheduling/actions.hpp
@@ -60,7 +60,7 @@
     cancelled,    ///< The caller disconnected.
 };
 
-/// Name of the outcome as used in logs and metrics, for example "unreachable".
+/// The name of an outcome, for example "unreachable".
 const char* name(attempt_result value);
 
 }  // namespace caraway::scheduling
--- a/src/libcaraway/scheduling/demand_tracker.cpp
+++ b/src/libcaraway/scheduling/demand_tracker.cpp
@@ -36,13 +36,13 @@
 std::vector<base::node_ref> demand_tracker::expire(base::duration age, base::time_point now)
 {
     std::vector<base::node_ref> silent;
-    for (auto& [router, each] : entries_)
+    for (auto& [router, state] : entries_)
     {
-        const bool empty = each.report.demands.empty() && each.report.holdings.empty();
-        if (!empty && now - each.received >= age)
+        const bool empty = state.report.demands.empty() && state.report.holdings.empty();
+        if (!empty && now - state.received >= age)
         {
-            each.report.demands.clear();
-            each.report.holdings.clear();
+            state.report.demands.clear();
+            state.report.holdings.clear();
             silent.push_back(router);
         }
     }
@@ -68,9 +68,9 @@
 std::vector<account> demand_tracker::accounts_with_demand() const
 {
     std::set<account> keys;
-    for (const auto& [router, each] : entries_)
+    for (const auto& [router, state] : entries_)
     {
-        for (const auto& item : each.report.demands)
+        for (const auto& item : state.report.demands)
         {
             keys.insert({.service = item.service, .workspace = item.workspace});
         }
@@ -93,9 +93,9 @@
 std::uint32_t demand_tracker::waiting(const account& key) const
 {
     std::uint32_t sum = 0;
-    for (const auto& [router, each] : entries_)
+    for (const auto& [router, state] : entries_)
     {
-        for (const auto& item : each.report.demands)
+        for (const auto& item : state.report.demands)
         {
             const bool same = item.service == key.service && item.workspace == key.workspace;
             sum += same ? item.waiting : 0;
