--- a/src/libcaraway/router/core.cpp
+++ b/src/libcaraway/router/core.cpp
@@ -205,7 +205,7 @@
         }
     }
     const bool was_ejected = health.ejected(id, now());
-    health.note(id, result, peers, now());
+    health.record_result(id, result, peers, now());
     const bool is_ejected = health.ejected(id, now());
     if (is_ejected != was_ejected)
     {
@@ -231,7 +231,7 @@
     log.line("upstream_restarted", {{"upstream", id.str()}, {"born", born.count()}});
     pool.close_all(id);
     placer.forget(id);
-    health.forget(id);
+    health.discard(id);
     log_crash(crashes.restarted(id, now()));
     std::vector<std::shared_ptr<request_session>> there;
     if (const auto found = at_upstreams_.find(id); found != at_upstreams_.end())
--- a/src/libcaraway/scheduling/ask_planner.cpp
+++ b/src/libcaraway/scheduling/ask_planner.cpp
@@ -144,7 +144,8 @@
     {
         if (auto few = choose_first(ranked, waiting))
         {
-            current.next = first_choice ? now + context_.options.first_patience : current.next;
+            current.next =
+                first_choice ? now + context_.options.first_owners_timeout : current.next;
             few->insert(current.asked.begin(), current.asked.end());
             return *few;
         }
@@ -181,7 +182,7 @@
 {
     std::vector<base::node_ref> drawn(asked.begin(), asked.end());
     const auto limit = std::size_t{context_.options.owners_asked};
-    const auto redrawn = std::size_t{context_.options.owners_redrawn};
+    const auto redrawn = std::size_t{context_.options.owners_resampled};
     while (!drawn.empty() && drawn.size() + redrawn > limit)
     {
         const auto lot = context_.options.random() % drawn.size();
--- a/src/libcaraway/scheduling/demand_board.cpp
+++ b/src/libcaraway/scheduling/demand_board.cpp
@@ -15,7 +15,7 @@
         return false;
     }
     entry next{.report = report, .received = now, .demands_received = now};
-    if (report.demands_kept && known != entries_.end())
+    if (report.demands_unchanged && known != entries_.end())
     {
         next.report.demands = known->second.report.demands;
         next.demands_received = known->second.demands_received;
--- a/src/libcaraway/scheduling/grant_sender.cpp
+++ b/src/libcaraway/scheduling/grant_sender.cpp
@@ -52,7 +52,7 @@
         std::erase_if(each.open,
                       [&, &to = router](const sent_grant& sent)
                       {
-                          const bool late = now - sent.made >= options_.grant_reclaim;
+                          const bool late = now - sent.made >= options_.grant_timeout;
                           if (late)
                           {
                               taken.emplace_back(to, sent.given);
@@ -93,7 +93,8 @@
     std::vector<base::node_ref> routers;
     for (const auto& [router, each] : peers_)
     {
-        const bool repeat = !each.open.empty() && now - each.last_sent >= options_.grant_repeat;
+        const bool repeat =
+            !each.open.empty() && now - each.last_sent >= options_.grant_resend_interval;
         if (each.fresh || repeat)
         {
             routers.push_back(router);
@@ -124,8 +125,8 @@
         {
             continue;
         }
-        const auto repeat = each.last_sent + options_.grant_repeat;
-        const auto reclaim = each.open.front().made + options_.grant_reclaim;
+        const auto repeat = each.last_sent + options_.grant_resend_interval;
+        const auto reclaim = each.open.front().made + options_.grant_timeout;
         const base::time_point first = std::min(repeat, reclaim);
         next = next ? std::min(*next, first) : first;
     }
--- a/src/libcaraway/scheduling/messages.hpp
+++ b/src/libcaraway/scheduling/messages.hpp
@@ -27,7 +27,7 @@
 {
     base::service_id service;
     base::workspace_id workspace;
-    /// Capped (scheduler_options::reported_waiting): beyond it more makes no difference to an
+    /// Capped (scheduler_options::max_reported_waiting): beyond it more makes no difference to an
     /// owner.
     std::uint32_t waiting = 0;
     /// Estimated cost of the request that would be bound next.
@@ -56,7 +56,7 @@
     /// Rises with each report to this owner; a report that is not newer is dropped.
     std::uint64_t sequence = 0;
     /// The owner's life whose grants `last_grant` counts.
-    base::incarnation owner_life{};
+    base::incarnation owner_incarnation{};
     /// Hash of what the sender takes for the live routers. An owner that has just taken over counts
     /// a report as complete only if both agree on who owns what.
     std::uint64_t view = 0;
@@ -66,7 +66,7 @@
     std::vector<base::grant_number> declined;
     std::vector<demand> demands;
     /// The demands are much as in the last report that told them, and left out.
-    bool demands_kept = false;
+    bool demands_unchanged = false;
     std::vector<holding> holdings;
     /// Upstreams of this owner that the router can't use for now.
     std::vector<base::upstream_id> ejected;
@@ -98,7 +98,7 @@
 struct grant_list
 {
     /// The router's life that the grants are for; another life ignores them.
-    base::incarnation router_life{};
+    base::incarnation router_incarnation{};
     std::vector<grant> grants;
     /// A hint on where to ask; a list without grants is sent just for it.
     std::vector<free_slots> free;
--- a/src/libcaraway/scheduling/options.hpp
+++ b/src/libcaraway/scheduling/options.hpp
@@ -29,11 +29,11 @@
     /// Owners to which a router shows the requests that wait for one service.
     std::uint32_t owners_asked = 16;
     /// Of these, replaced by others each refresh while requests wait.
-    std::uint32_t owners_redrawn = 2;
+    std::uint32_t owners_resampled = 2;
     /// Of these, asked at first when so many are known to have free slots.
     std::uint32_t owners_asked_first = 2;
     /// How long those are given before the others are asked too.
-    std::chrono::milliseconds first_patience{10};
+    std::chrono::milliseconds first_owners_timeout{10};
     /// How long a hint of free slots is believed.
     std::chrono::milliseconds free_hint_lifetime{1000};
     /// Routers that an owner with free slots tells of them, each refresh, if it isn't asked by all.
@@ -45,16 +45,16 @@
 
     std::chrono::milliseconds report_delay{2};
     /// Delay of a report on demand alone, when another owner has served it.
-    std::chrono::milliseconds report_lazy_delay{25};
+    std::chrono::milliseconds report_deferred_delay{25};
     /// A report is repeated once after this, in case it got lost; a choice of owners is drawn anew.
     std::chrono::milliseconds report_refresh{250};
     /// From then on it is repeated this often while there is something to tell.
     std::chrono::milliseconds report_slow_refresh{2000};
     /// Largest number of waiting requests told of one workspace and service.
-    std::uint32_t reported_waiting = 4;
+    std::uint32_t max_reported_waiting = 4;
 
-    std::chrono::milliseconds grant_repeat{50};
-    std::chrono::milliseconds grant_reclaim{1000};
+    std::chrono::milliseconds grant_resend_interval{50};
+    std::chrono::milliseconds grant_timeout{1000};
     /// How long an upstream isn't offered again to a router that declined it though work waits.
     std::chrono::milliseconds decline_backoff{100};
     /// How long a new owner waits for the reports of all routers before it grants.
@@ -75,16 +75,16 @@
     std::chrono::milliseconds charge_lag{150};
     double charge_lag_intervals = 1.2;
     /// An account without waiting requests for so long earns no credit from then on.
-    std::chrono::milliseconds idle_close{500};
+    std::chrono::milliseconds idle_timeout{500};
     /// How long an aggregator that just became one lifts nobody.
-    std::chrono::milliseconds warm_up{1000};
+    std::chrono::milliseconds aggregator_warm_up{1000};
     /// An account that comes back from idling is lifted when it lags by more than so many of its
     /// service's default costs.
     double lift_tolerance = 1;
     /// How far a backlogged account may lag behind (after a partition): so many default costs for
     /// each slot of the service. Less than one would forgive what a workspace takes that finds all
     /// slots free a moment before the others ask.
-    double catch_up = 1;
+    double max_backlogged_lag = 1;
 
     /// Retries allowed for each first attempt of a service.
     double retry_budget_ratio = 0.1;
@@ -97,7 +97,7 @@
     std::chrono::milliseconds ejection_max{30000};
     std::uint32_t ejection_failures = 3;
     /// Largest part of a service's upstreams that is ejected at a time.
-    double ejection_share = 0.5;
+    double max_ejected_fraction = 0.5;
 
     /// Upstreams whose last prefixes are remembered, a node.
     std::uint32_t affinity_entries = 4096;
--- a/src/libcaraway/scheduling/owner_role.cpp
+++ b/src/libcaraway/scheduling/owner_role.cpp
@@ -57,7 +57,7 @@
 void owner_role::receive(const base::node_ref& router, const router_report& report,
                          base::time_point now)
 {
-    if (report.owner_life != context_.view.self().life || !board_.put(router, report, now))
+    if (report.owner_incarnation != context_.view.self().life || !board_.put(router, report, now))
     {
         ++context_.counters.messages_dropped;
         return;
@@ -179,7 +179,7 @@
 {
     for (const auto& router : sender_.due(now))
     {
-        context_.out.send(router, grant_list{.router_life = router.life,
+        context_.out.send(router, grant_list{.router_incarnation = router.life,
                                              .grants = sender_.list_for(router, now),
                                              .free = free_now()});
     }
@@ -204,7 +204,7 @@
         const auto& router = members[context_.options.random() % members.size()].node;
         if (router != context_.view.self())
         {
-            context_.out.send(router, grant_list{.router_life = router.life,
+            context_.out.send(router, grant_list{.router_incarnation = router.life,
                                                  .grants = sender_.list_for(router, now),
                                                  .free = free});
         }
--- a/src/libcaraway/scheduling/report_schedule.cpp
+++ b/src/libcaraway/scheduling/report_schedule.cpp
@@ -20,16 +20,16 @@
 {
 }
 
-void report_schedule::mark(const base::node_ref& owner, base::time_point now)
+void report_schedule::mark_changed(const base::node_ref& owner, base::time_point now)
 {
     auto& each = peers_[owner];
     const bool wait = each.last_sent && owner != self_;
     mark_at(each, wait ? std::max(now, *each.last_sent + options_.report_delay) : now);
 }
 
-void report_schedule::mark_lazily(const base::node_ref& owner, base::time_point now)
+void report_schedule::mark_deferred(const base::node_ref& owner, base::time_point now)
 {
-    mark_at(peers_[owner], now + options_.report_lazy_delay);
+    mark_at(peers_[owner], now + options_.report_deferred_delay);
 }
 
 void report_schedule::mark_at(peer& each, base::time_point when)
@@ -51,7 +51,8 @@
     return owners;
 }
 
-std::uint64_t report_schedule::sent(const base::node_ref& owner, bool empty, base::time_point now)
+std::uint64_t report_schedule::record_sent(const base::node_ref& owner, bool empty,
+                                           base::time_point now)
 {
     auto& each = peers_[owner];
     each.last_sent = now;
--- a/src/libcaraway/scheduling/report_schedule.hpp
+++ b/src/libcaraway/scheduling/report_schedule.hpp
@@ -22,13 +22,13 @@
     report_schedule(const scheduler_options& options, base::node_ref self);
 
     /// The owner must learn of a change as soon as reports may follow each other.
-    void mark(const base::node_ref& owner, base::time_point now);
+    void mark_changed(const base::node_ref& owner, base::time_point now);
     /// The owner should learn of a change, but nothing waits for it.
-    void mark_lazily(const base::node_ref& owner, base::time_point now);
+    void mark_deferred(const base::node_ref& owner, base::time_point now);
 
     std::vector<base::node_ref> due(base::time_point now) const;
     /// A report is sent now; returns its sequence number.
-    std::uint64_t sent(const base::node_ref& owner, bool empty, base::time_point now);
+    std::uint64_t record_sent(const base::node_ref& owner, bool empty, base::time_point now);
 
     std::optional<base::time_point> next_wakeup() const;
     void retain(const std::function<bool(const base::node_ref&)>& alive);
--- a/src/libcaraway/scheduling/router_role.cpp
+++ b/src/libcaraway/scheduling/router_role.cpp
@@ -51,7 +51,7 @@
         const auto before = owners_.find(upstream);
         if (before == owners_.end() || before->second != owner)
         {
-            reports_.mark(owner, now);
+            reports_.mark_changed(owner, now);
         }
     }
     owners_ = context_.view.owners();
@@ -135,13 +135,13 @@
         estimator_.learn(key, over.bound.hint, context_.directory.default_cost(key.service), total);
     }
     const auto& peers = context_.directory.upstreams_of(key.service);
-    if (health_.note(over.upstream, result, peers, now))
+    if (health_.record_result(over.upstream, result, peers, now))
     {
-        next_return_ = health_.next_return(now);
+        next_return_ = health_.next_ejection_end(now);
         const auto owner = owners_.find(over.upstream);
         if (owner != owners_.end())
         {
-            reports_.mark(owner->second, now);
+            reports_.mark_changed(owner->second, now);
         }
     }
 }
@@ -182,7 +182,7 @@
 
 void router_role::receive(const base::node_ref& owner, const grant_list& list, base::time_point now)
 {
-    if (list.router_life != context_.view.self().life)
+    if (list.router_incarnation != context_.view.self().life)
     {
         ++context_.counters.messages_dropped;
         return;
@@ -201,7 +201,7 @@
     if (!list.grants.empty())
     {
         // Also if none was new: then the report that acknowledged them got lost.
-        reports_.mark(owner, now);
+        reports_.mark_changed(owner, now);
     }
     for (const auto& each : list.free)
     {
@@ -225,7 +225,7 @@
     }
     ++next->attempts;
     ++context_.counters.started;
-    rates_.note_start(key, now);
+    rates_.record_start(key, now);
     affinity_.note(next->affinity, given.upstream);
     const auto fallback = context_.directory.default_cost(key.service);
     const auto estimate = estimator_.estimate(key, next->hint, fallback);
@@ -254,12 +254,12 @@
 {
     if (context_.view.find(granter))
     {
-        reports_.mark(granter, now);
+        reports_.mark_changed(granter, now);
     }
     const auto present = owners_.find(upstream);
     if (present != owners_.end() && present->second != granter)
     {
-        reports_.mark(present->second, now);
+        reports_.mark_changed(present->second, now);
     }
 }
 
@@ -268,14 +268,14 @@
     const auto waiting = queues_.waiting(key);
     if (waiting == 0)
     {
-        rates_.note_empty(key, now);
+        rates_.record_empty(key, now);
     }
     else
     {
-        rates_.note_backlog(key, now);
+        rates_.record_backlog(key, now);
     }
     update_plan(key.service, now);
-    const auto cap = context_.options.reported_waiting;
+    const auto cap = context_.options.max_reported_waiting;
     if (waiting > cap || (waiting == cap && what == change::shrank))
     {
         return;  // The owners were told this number before.
@@ -284,11 +284,11 @@
     {
         if (urgent || owner == context_.view.self())
         {
-            reports_.mark(owner, now);
+            reports_.mark_changed(owner, now);
         }
         else
         {
-            reports_.mark_lazily(owner, now);
+            reports_.mark_deferred(owner, now);
         }
     }
 }
@@ -305,11 +305,11 @@
         }
         if (asks_.is_asked(service, owner))
         {
-            reports_.mark(owner, now);
+            reports_.mark_changed(owner, now);
         }
         else
         {
-            reports_.mark_lazily(owner, now);
+            reports_.mark_deferred(owner, now);
         }
     }
 }
@@ -370,7 +370,7 @@
     {
         return;
     }
-    next_return_ = health_.next_return(now);
+    next_return_ = health_.next_ejection_end(now);
     for (const auto& [service, content] : context_.directory.content().services)
     {
         if (queues_.waiting(service) == 0)
@@ -379,7 +379,7 @@
         }
         for (const auto& owner : asks_.asked(service))
         {
-            reports_.mark(owner, now);
+            reports_.mark_changed(owner, now);
         }
     }
 }
@@ -395,18 +395,18 @@
 {
     auto report = make_report(owner, now);
     const bool empty = report.demands.empty() && report.holdings.empty();
-    report.sequence = reports_.sent(owner, empty, now);
+    report.sequence = reports_.record_sent(owner, empty, now);
     if (told_.may_leave_out(owner, report.demands, now))
     {
         report.demands.clear();
-        report.demands_kept = true;
+        report.demands_unchanged = true;
     }
     context_.out.send(owner, std::move(report));
 }
 
 router_report router_role::make_report(const base::node_ref& owner, base::time_point now) const
 {
-    router_report report{.owner_life = owner.life,
+    router_report report{.owner_incarnation = owner.life,
                          .view = context_.view.hash(),
                          .last_grant = grants_.last(owner),
                          .declined = grants_.declined(owner),
@@ -439,7 +439,7 @@
         demands.push_back(
             {.service = key.service,
              .workspace = key.workspace,
-             .waiting = std::min(queues_.waiting(key), context_.options.reported_waiting),
+             .waiting = std::min(queues_.waiting(key), context_.options.max_reported_waiting),
              .head_cost = estimator_.charge(key.service, estimate, {}, fallback),
              .head_age_ms = age_ms(head->arrival, now),
              .affinity = head->affinity});
--- a/src/libcaraway/scheduling/service_rate.cpp
+++ b/src/libcaraway/scheduling/service_rate.cpp
@@ -26,21 +26,21 @@
     each.updated = now;
 }
 
-void service_rate::note_backlog(const account& key, base::time_point now)
+void service_rate::record_backlog(const account& key, base::time_point now)
 {
     auto& each = meters_[key];
     advance(each, now);
     each.waiting = true;
 }
 
-void service_rate::note_start(const account& key, base::time_point now)
+void service_rate::record_start(const account& key, base::time_point now)
 {
     auto& each = meters_[key];
     advance(each, now);
     each.starts += 1;
 }
 
-void service_rate::note_empty(const account& key, base::time_point now)
+void service_rate::record_empty(const account& key, base::time_point now)
 {
     auto& each = meters_[key];
     advance(each, now);
--- a/src/libcaraway/scheduling/service_rate.hpp
+++ b/src/libcaraway/scheduling/service_rate.hpp
@@ -14,10 +14,10 @@
 {
 public:
     /// Something began to wait; idle time before it doesn't count.
-    void note_backlog(const account& key, base::time_point now);
-    void note_start(const account& key, base::time_point now);
+    void record_backlog(const account& key, base::time_point now);
+    void record_start(const account& key, base::time_point now);
     /// Nothing waits any more.
-    void note_empty(const account& key, base::time_point now);
+    void record_empty(const account& key, base::time_point now);
 
     /// Starts a second; nothing until it was measured over enough of them.
     std::optional<double> rate(const account& key, base::time_point now) const;
--- a/src/libcaraway/scheduling/total_aggregator.cpp
+++ b/src/libcaraway/scheduling/total_aggregator.cpp
@@ -115,7 +115,7 @@
 
 void total_aggregator::note_wanted(aggregate& each, base::time_point now)
 {
-    const base::duration shortest = context_.options.idle_close;
+    const base::duration shortest = context_.options.idle_timeout;
     const auto idle = std::max(shortest, idle_intervals * interval());
     if (!each.wanted_at || now - *each.wanted_at > idle)
     {
@@ -142,7 +142,8 @@
     const base::virtual_time reached(each.lift + sum_of(each.totals), weight);
     const double floor = floors_.at(key.service).value();
     const double behind = floor - reached.value();
-    const double longest = context_.options.catch_up * context_.directory.slots_of(key.service);
+    const double longest =
+        context_.options.max_backlogged_lag * context_.directory.slots_of(key.service);
     const double allowed = unit * (each.opened_at ? context_.options.lift_tolerance : longest);
     if (behind <= allowed)
     {
@@ -198,7 +199,8 @@
     {
         started_ = now;
     }
-    return context_.view.members().size() == 1 || now - *started_ >= context_.options.warm_up;
+    return context_.view.members().size() == 1 ||
+           now - *started_ >= context_.options.aggregator_warm_up;
 }
 
 }  // namespace caraway::scheduling
--- a/src/libcaraway/scheduling/upstream_health.cpp
+++ b/src/libcaraway/scheduling/upstream_health.cpp
@@ -15,8 +15,9 @@
 
 upstream_health::upstream_health(const scheduler_options& options) : options_(options) {}
 
-bool upstream_health::note(const base::upstream_id& upstream, attempt_result result,
-                           const std::vector<base::upstream_id>& peers, base::time_point now)
+bool upstream_health::record_result(const base::upstream_id& upstream, attempt_result result,
+                                    const std::vector<base::upstream_id>& peers,
+                                    base::time_point now)
 {
     switch (result)
     {
@@ -74,7 +75,7 @@
     return *found->second.until <= now && held == 0;
 }
 
-std::optional<base::time_point> upstream_health::next_return(base::time_point now) const
+std::optional<base::time_point> upstream_health::next_ejection_end(base::time_point now) const
 {
     std::optional<base::time_point> next;
     for (const auto& [upstream, each] : records_)
@@ -100,7 +101,7 @@
     const auto out = std::count_if(peers.begin(), peers.end(),
                                    [&](const auto& each) { return ejected(each, now); });
     return static_cast<double>(out + 1) <=
-           options_.ejection_share * static_cast<double>(peers.size());
+           options_.max_ejected_fraction * static_cast<double>(peers.size());
 }
 
 }  // namespace caraway::scheduling
--- a/src/libcaraway/scheduling/upstream_health.hpp
+++ b/src/libcaraway/scheduling/upstream_health.hpp
@@ -22,17 +22,17 @@
 
     /// Takes in how an attempt ended; `peers` are all upstreams of its service.
     /// True if the upstream was ejected or came back.
-    bool note(const base::upstream_id& upstream, attempt_result result,
-              const std::vector<base::upstream_id>& peers, base::time_point now);
+    bool record_result(const base::upstream_id& upstream, attempt_result result,
+                       const std::vector<base::upstream_id>& peers, base::time_point now);
 
     bool ejected(const base::upstream_id& upstream, base::time_point now) const;
     /// Whether one more request may go there while this router has `held` running there.
     bool usable(const base::upstream_id& upstream, base::slots held, base::time_point now) const;
     /// When the next ejection ends.
-    std::optional<base::time_point> next_return(base::time_point now) const;
+    std::optional<base::time_point> next_ejection_end(base::time_point now) const;
 
     /// Another process runs under its id: what the one before did says nothing of it.
-    void forget(const base::upstream_id& upstream)
+    void discard(const base::upstream_id& upstream)
     {
         records_.erase(upstream);
     }
--- a/tests/routing/test_placer.cpp
+++ b/tests/routing/test_placer.cpp
@@ -271,7 +271,7 @@
 
     for (int failure = 0; failure < 5; ++failure)
     {
-        health.note(home.id, scheduling::attempt_result::failed, {}, now);
+        health.record_result(home.id, scheduling::attempt_result::failed, {}, now);
     }
     BOOST_TEST(health.ejected(home.id, now) != place(request)->source.has_value());
 
--- a/tests/scheduling/told_demands_test.cpp
+++ b/tests/scheduling/told_demands_test.cpp
@@ -23,7 +23,7 @@
 
 router_report report(std::uint64_t sequence, std::vector<demand> demands, bool kept)
 {
-    return {.sequence = sequence, .demands = std::move(demands), .demands_kept = kept};
+    return {.sequence = sequence, .demands = std::move(demands), .demands_unchanged = kept};
 }
 
 }  // namespace
