--- a/src/libcaraway/scheduling/aggregator_links.cpp
+++ b/src/libcaraway/scheduling/aggregator_links.cpp
@@ -9,10 +9,11 @@
 namespace
 {
 
-/// What can't wait for the interval comes after this part of it.
-constexpr int urgent_part = 8;
-/// No aggregator makes others wait longer; what comes from outside is bounded.
-constexpr std::chrono::seconds longest_interval{20};
+/// Urgent messages may follow after the interval divided by this.
+constexpr int urgent_divisor = 8;
+/// Upper bound on the interval that an aggregator can request; a received value must not be trusted
+/// without a bound.
+constexpr std::chrono::seconds max_interval{20};
 
 }  // namespace
 
@@ -20,9 +21,10 @@
 
 base::duration aggregator_links::interval(const base::node_ref& aggregator) const
 {
-    const base::duration shortest = options_.totals_period;
+    const base::duration min_interval = options_.totals_period;
     const auto found = links_.find(aggregator);
-    return found == links_.end() ? shortest : std::max(shortest, found->second.told);
+    return found == links_.end() ? min_interval
+                                 : std::max(min_interval, found->second.requested_interval);
 }
 
 base::time_point aggregator_links::due(const base::node_ref& aggregator, bool urgent) const
@@ -32,33 +34,34 @@
     {
         return base::time_point::min();
     }
-    return *found->second.last_sent + interval(aggregator) / (urgent ? urgent_part : 1);
+    return *found->second.last_sent + interval(aggregator) / (urgent ? urgent_divisor : 1);
 }
 
-std::uint64_t aggregator_links::sent(const base::node_ref& aggregator, base::time_point now)
+std::uint64_t aggregator_links::record_sent(const base::node_ref& aggregator, base::time_point now)
 {
-    auto& each = links_[aggregator];
-    each.last_sent = now;
-    return ++each.sent_sequence;
+    auto& state = links_[aggregator];
+    state.last_sent = now;
+    return ++state.sent_sequence;
 }
 
-bool aggregator_links::received(const base::node_ref& aggregator, std::uint64_t sequence,
-                                std::uint32_t interval_ms)
+bool aggregator_links::record_received(const base::node_ref& aggregator, std::uint64_t sequence,
+                                       std::uint32_t interval_ms)
 {
-    auto& each = links_[aggregator];
-    if (sequence <= each.received_sequence)
+    auto& state = links_[aggregator];
+    if (sequence <= state.received_sequence)
     {
         return false;
     }
-    each.received_sequence = sequence;
-    const base::duration longest = longest_interval;
-    each.told = std::min<base::duration>(std::chrono::milliseconds(interval_ms), longest);
+    state.received_sequence = sequence;
+    const base::duration limit = max_interval;
+    state.requested_interval =
+        std::min<base::duration>(std::chrono::milliseconds(interval_ms), limit);
     return true;
 }
 
 void aggregator_links::retain(const std::function<bool(const base::node_ref&)>& alive)
 {
-    std::erase_if(links_, [&](const auto& each) { return !alive(each.first); });
+    std::erase_if(links_, [&](const auto& entry) { return !alive(entry.first); });
 }
 
 }  // namespace caraway::scheduling
--- a/src/libcaraway/scheduling/aggregator_links.hpp
+++ b/src/libcaraway/scheduling/aggregator_links.hpp
@@ -12,20 +12,21 @@
 namespace caraway::scheduling
 {
 
-/// When each aggregator was talked to, and how often it wants to be.
+/// Tracks when each aggregator was last sent a message, and the interval that it requested.
 class aggregator_links
 {
 public:
     explicit aggregator_links(const scheduler_options& options);
 
-    /// Time between two messages to that aggregator.
+    /// Time between two messages to `aggregator`.
     base::duration interval(const base::node_ref& aggregator) const;
-    /// When the next message may go; sooner if `urgent`.
+    /// Earliest time of the next message; sooner if `urgent`.
     base::time_point due(const base::node_ref& aggregator, bool urgent) const;
-    std::uint64_t sent(const base::node_ref& aggregator, base::time_point now);
-    /// False if the reply is older than one that came before.
-    bool received(const base::node_ref& aggregator, std::uint64_t sequence,
-                  std::uint32_t interval_ms);
+    std::uint64_t record_sent(const base::node_ref& aggregator, base::time_point now);
+    /// Records a reply; `interval_ms` is the interval that the aggregator requests. Returns false,
+    /// and changes nothing, if the reply is not newer than the last one.
+    bool record_received(const base::node_ref& aggregator, std::uint64_t sequence,
+                         std::uint32_t interval_ms);
     void retain(const std::function<bool(const base::node_ref&)>& alive);
 
 private:
@@ -34,7 +35,7 @@
         std::optional<base::time_point> last_sent;
         std::uint64_t sent_sequence = 0;
         std::uint64_t received_sequence = 0;
-        base::duration told{};
+        base::duration requested_interval{};
     };
 
     const scheduler_options& options_;
--- a/src/libcaraway/scheduling/grant_picker.cpp
+++ b/src/libcaraway/scheduling/grant_picker.cpp
@@ -18,21 +18,21 @@
 std::optional<pick> grant_picker::next(const base::service_id& service, const offer_rule& may_offer,
                                        base::time_point now) const
 {
-    const auto free = ledger_.free_of(service);
+    const auto free = ledger_.free_upstreams(service);
     if (free.empty() || !board_.has_demand(service))
     {
         return std::nullopt;
     }
-    for (const auto& taker : candidates(service, now))
+    for (const auto& requester : candidates(service, now))
     {
-        const auto upstream = best_upstream(free, taker, may_offer);
+        const auto upstream = best_upstream(free, requester, may_offer);
         if (upstream)
         {
-            return pick{.router = taker.router,
+            return pick{.router = requester.router,
                         .upstream = *upstream,
-                        .key = {.service = service, .workspace = taker.wanted->workspace},
-                        .estimate = taker.wanted->head_cost,
-                        .affinity = taker.wanted->affinity};
+                        .key = {.service = service, .workspace = requester.reported->workspace},
+                        .estimate = requester.reported->head_cost,
+                        .affinity = requester.reported->affinity};
         }
     }
     return std::nullopt;
@@ -42,61 +42,64 @@
                                                               base::time_point now) const
 {
     using milliseconds = std::chrono::duration<double, std::milli>;
-    std::vector<candidate> found;
-    std::map<base::workspace_id, base::virtual_time> times;
+    std::vector<candidate> result;
+    std::map<base::workspace_id, base::virtual_time> virtual_times;
     for (const auto& [router, entry] : board_.all())
     {
-        const double since = milliseconds(now - entry.demands_received).count();
-        for (const auto& wanted : entry.report.demands)
+        const double report_age_ms = milliseconds(now - entry.demands_received).count();
+        for (const auto& reported : entry.report.demands)
         {
-            if (wanted.service != service)
+            if (reported.service != service)
             {
                 continue;
             }
-            const account key{.service = service, .workspace = wanted.workspace};
+            const account key{.service = service, .workspace = reported.workspace};
             const auto granted = sender_.unacknowledged(router, key);
-            if (granted >= wanted.waiting)
+            if (granted >= reported.waiting)
             {
                 continue;
             }
-            auto time = times.find(wanted.workspace);
-            if (time == times.end())
+            auto time = virtual_times.find(reported.workspace);
+            if (time == virtual_times.end())
             {
                 const auto value = totals_.virtual_now(key, true, now);
-                time = times.emplace(wanted.workspace, value).first;
+                time = virtual_times.emplace(reported.workspace, value).first;
             }
-            // The head has been granted to; how long the next ones wait isn't told.
-            const double left = 1 - static_cast<double>(granted) / wanted.waiting;
-            found.push_back({.router = router,
-                             .wanted = &wanted,
-                             .virtual_now = time->second,
-                             .age_ms = (wanted.head_age_ms + since) * left});
+            // The oldest request already has a grant, and reports hold the age of the oldest one
+            // only. The age of the next is estimated in proportion to the requests without a grant.
+            const double ungranted_fraction = 1 - static_cast<double>(granted) / reported.waiting;
+            result.push_back(
+                {.router = router,
+                 .reported = &reported,
+                 .virtual_now = time->second,
+                 .age_ms = (reported.head_age_ms + report_age_ms) * ungranted_fraction});
         }
     }
     std::sort(
-        found.begin(), found.end(),
+        result.begin(), result.end(),
         [](const candidate& a, const candidate& b)
         { return std::tuple(a.virtual_now, -a.age_ms) < std::tuple(b.virtual_now, -b.age_ms); });
-    return found;
+    return result;
 }
 
 std::optional<base::upstream_id>
-grant_picker::best_upstream(const std::vector<base::upstream_id>& free, const candidate& taker,
+grant_picker::best_upstream(const std::vector<base::upstream_id>& free, const candidate& requester,
                             const offer_rule& may_offer) const
 {
-    const account key{.service = taker.wanted->service, .workspace = taker.wanted->workspace};
-    const auto* cached = affinity_.find(taker.wanted->affinity);
-    const auto* router = context_.view.find(taker.router);
+    const account key{.service = requester.reported->service,
+                      .workspace = requester.reported->workspace};
+    const auto* cached = affinity_.find(requester.reported->affinity);
+    const auto* router = context_.view.find(requester.router);
     std::optional<base::upstream_id> best;
     auto best_rank = std::tuple(false, false, base::slots{0});
     for (const auto& id : free)
     {
-        if (!may_offer(taker.router, id, key))
+        if (!may_offer(requester.router, id, key))
         {
             continue;
         }
-        const bool near = router && router->zone == context_.directory.upstream(id)->zone;
-        const auto rank = std::tuple(cached && *cached == id, near, ledger_.free(id));
+        const bool same_zone = router && router->zone == context_.directory.upstream(id)->zone;
+        const auto rank = std::tuple(cached && *cached == id, same_zone, ledger_.free(id));
         if (!best || rank > best_rank)
         {
             best = id;
--- a/src/libcaraway/scheduling/grant_picker.hpp
+++ b/src/libcaraway/scheduling/grant_picker.hpp
@@ -15,7 +15,7 @@
 namespace caraway::scheduling
 {
 
-/// A slot found for a request that waits.
+/// A free slot chosen for a waiting request.
 struct pick
 {
     base::node_ref router;
@@ -25,9 +25,9 @@
     std::uint64_t affinity = 0;
 };
 
-/// Says who gets the next slot of a service: the account with the least virtual time, of its
-/// routers the one whose request waits longest, and of the free upstreams the one that fits it
-/// best.
+/// Chooses the receiver of the next slot of a service: the account with the lowest virtual time, of
+/// its routers the one whose request has waited longest, and of the free upstreams the most
+/// suitable one (cached prefix, then same zone, then most free slots).
 class grant_picker
 {
 public:
@@ -46,14 +46,14 @@
     struct candidate
     {
         base::node_ref router;
-        const demand* wanted = nullptr;
+        const demand* reported = nullptr;
         base::virtual_time virtual_now;
         double age_ms = 0;
     };
 
     std::vector<candidate> candidates(const base::service_id& service, base::time_point now) const;
     std::optional<base::upstream_id> best_upstream(const std::vector<base::upstream_id>& free,
-                                                   const candidate& taker,
+                                                   const candidate& requester,
                                                    const offer_rule& may_offer) const;
 
     const node_context& context_;
--- a/src/libcaraway/scheduling/messages.hpp
+++ b/src/libcaraway/scheduling/messages.hpp
@@ -10,7 +10,7 @@
 namespace caraway::scheduling
 {
 
-/// What service is counted by: one workspace at one service.
+/// The unit by which service is counted: one workspace at one service.
 struct account
 {
     base::service_id service;
@@ -27,10 +27,10 @@
 {
     base::service_id service;
     base::workspace_id workspace;
-    /// Capped (scheduler_options::max_reported_waiting): beyond it more makes no difference to an
-    /// owner.
+    /// Number of waiting requests, at most scheduler_options::max_reported_waiting; a higher number
+    /// makes no difference to an owner.
     std::uint32_t waiting = 0;
-    /// Estimated cost of the request that would be bound next.
+    /// Estimated cost of the next request to be bound.
     base::cost head_cost;
     /// Age of that request, in milliseconds.
     std::uint32_t head_age_ms = 0;
@@ -40,7 +40,7 @@
     friend bool operator==(const demand&, const demand&) = default;
 };
 
-/// Requests that the reporting router has running at one upstream.
+/// Number of requests that the reporting router runs at one upstream.
 struct holding
 {
     base::upstream_id upstream;
@@ -49,26 +49,28 @@
     friend bool operator==(const holding&, const holding&) = default;
 };
 
-/// Router to owner: the whole state that this owner needs of this router. It replaces the last one,
-/// so that a lost, repeated or late report does no harm.
+/// Router to owner: all state that the owner needs of this router. Replaces the previous report, so
+/// lost, repeated or late reports do no harm.
 struct router_report
 {
-    /// Rises with each report to this owner; a report that is not newer is dropped.
+    /// Increases with each report to this owner; a report that is not newer than the last one is
+    /// dropped.
     std::uint64_t sequence = 0;
-    /// The owner's life whose grants `last_grant` counts.
+    /// Incarnation of the owner that numbered `last_grant`.
     base::incarnation owner_incarnation{};
-    /// Hash of what the sender takes for the live routers. An owner that has just taken over counts
-    /// a report as complete only if both agree on who owns what.
+    /// Hash of the sender's view of the live routers. An owner that has just taken over counts a
+    /// report as complete only if both agree on the owner of each upstream.
     std::uint64_t view = 0;
-    /// All grants up to this one were bound or declined.
+    /// All grants up to and including this number have been bound or declined.
     base::grant_number last_grant{};
-    /// The latest of those that were declined, in order of number.
+    /// The most recent declined grants among these, in ascending order.
     std::vector<base::grant_number> declined;
     std::vector<demand> demands;
-    /// The demands are much as in the last report that told them, and left out.
+    /// True if `demands` is left out because it is nearly the same as in the last report that held
+    /// it.
     bool demands_unchanged = false;
     std::vector<holding> holdings;
-    /// Upstreams of this owner that the router can't use for now.
+    /// Upstreams of this owner that the router cannot use at present.
     std::vector<base::upstream_id> ejected;
 
     friend bool operator==(const router_report&, const router_report&) = default;
@@ -85,7 +87,7 @@
     friend bool operator==(const grant&, const grant&) = default;
 };
 
-/// Slots of a service that the sender owns and nobody has asked for.
+/// Slots of a service that the sender owns and no router has requested.
 struct free_slots
 {
     base::service_id service;
@@ -94,33 +96,34 @@
     friend bool operator==(const free_slots&, const free_slots&) = default;
 };
 
-/// Owner to router: every grant that the router has not yet acknowledged, in order of number.
+/// Owner to router: all grants that the router has not yet acknowledged, in ascending order.
 struct grant_list
 {
-    /// The router's life that the grants are for; another life ignores them.
+    /// Incarnation of the router that the grants are for; any other ignores them.
     base::incarnation router_incarnation{};
     std::vector<grant> grants;
-    /// A hint on where to ask; a list without grants is sent just for it.
+    /// Hint where to ask for slots. A list without grants is sent only to carry this hint.
     std::vector<free_slots> free;
 
     friend bool operator==(const grant_list&, const grant_list&) = default;
 };
 
-/// A node's own total for one account. An epoch is one stretch of backlog; a higher epoch
-/// replaces all that is known of lower ones.
+/// A node's own total for one account. An epoch is one period of backlog; state of a higher epoch
+/// replaces all state of lower ones.
 struct service_total
 {
     base::service_id service;
     base::workspace_id workspace;
     std::uint32_t epoch = 0;
-    /// Credit that lifts the account to the others when the epoch starts; the largest one wins.
+    /// Credit that raises the account to the service floor when the epoch starts; the largest value
+    /// wins.
     base::cost lift;
     base::cost total;
 
     friend bool operator==(const service_total&, const service_total&) = default;
 };
 
-/// How far a service's virtual time has come: an account that becomes backlogged starts there.
+/// Virtual time that a service has reached; an account that becomes backlogged starts there.
 struct service_floor
 {
     base::service_id service;
@@ -129,28 +132,28 @@
     friend bool operator==(const service_floor&, const service_floor&) = default;
 };
 
-/// Node to an account's aggregating node: the sender's own totals, absolute.
+/// Node to the aggregating node of an account: the sender's own totals, as absolute values.
 struct totals_report
 {
     std::uint64_t sequence = 0;
     std::vector<service_total> totals;
-    /// Accounts whose sums the sender wants back.
+    /// Accounts whose sums the sender requests.
     std::vector<account> wanted;
     std::vector<service_floor> floors;
 
     friend bool operator==(const totals_report&, const totals_report&) = default;
 };
 
-/// What the whole fleet has rendered to one account in its present epoch.
+/// Service that the whole fleet has rendered to one account in its current epoch.
 struct service_sum
 {
     base::service_id service;
     base::workspace_id workspace;
     std::uint32_t epoch = 0;
     base::cost lift;
-    /// All nodes' totals, without the lift.
+    /// Sum of all nodes' totals, without `lift`.
     base::cost sum;
-    /// The receiver's own part of the sum, as it last reported it.
+    /// The receiver's own total as contained in `sum`.
     base::cost included;
 
     friend bool operator==(const service_sum&, const service_sum&) = default;
@@ -162,13 +165,13 @@
     std::uint64_t sequence = 0;
     std::vector<service_sum> sums;
     std::vector<service_floor> floors;
-    /// How long the receiver should wait before it asks again.
+    /// Time in milliseconds that the receiver should wait before it asks again.
     std::uint32_t interval_ms = 0;
 
     friend bool operator==(const totals_reply&, const totals_reply&) = default;
 };
 
-/// All that the schedulers of two routers say to each other.
+/// All messages between the schedulers of two routers.
 using peer_message = std::variant<router_report, grant_list, totals_report, totals_reply>;
 
 }  // namespace caraway::scheduling
--- a/src/libcaraway/scheduling/node_scheduler.cpp
+++ b/src/libcaraway/scheduling/node_scheduler.cpp
@@ -25,19 +25,20 @@
             .counters = {}};
 }
 
-/// Rounds of messages from this node to itself within one call. Each round binds or declines
-/// something, so that they end; this bounds the time that a fault of ours could take.
-constexpr int largest_rounds = 256;
+/// Limit on rounds of messages from this node to itself within one call. Each round binds or
+/// declines a grant, so the rounds end by themselves; the limit bounds the time lost to a
+/// programming error.
+constexpr int max_rounds = 256;
 
-std::optional<base::time_point> earliest(std::optional<base::time_point> a,
-                                         std::optional<base::time_point> b)
+std::optional<base::time_point> earliest(std::optional<base::time_point> first,
+                                         std::optional<base::time_point> second)
 {
-    return !a ? b : !b ? a : std::min(a, b);
+    return !first ? second : !second ? first : std::min(first, second);
 }
 
 }  // namespace
 
-/// The roles and what they share.
+/// The roles of this node and the state they share.
 class node_scheduler::parts
 {
 public:
@@ -55,7 +56,7 @@
         totals.view_changed(now);
         owner.view_changed(now);
         router.view_changed(now);
-        settle(now);
+        run_until_idle(now);
     }
 
     void dispatch(const base::node_ref& from, const peer_message& message, base::time_point now)
@@ -73,9 +74,9 @@
         {
             router.receive(from, *grants, now);
         }
-        else if (const auto* told = std::get_if<totals_report>(&message))
+        else if (const auto* totals_message = std::get_if<totals_report>(&message))
         {
-            totals.receive(from, *told, now);
+            totals.receive(from, *totals_message, now);
         }
         else if (const auto* reply = std::get_if<totals_reply>(&message))
         {
@@ -83,10 +84,10 @@
         }
     }
 
-    /// Runs the roles until they have nothing more to say to each other.
-    void settle(base::time_point now)
+    /// Runs the roles until no message from this node to itself is left.
+    void run_until_idle(base::time_point now)
     {
-        for (int round = 0; round < largest_rounds; ++round)
+        for (int round = 0; round < max_rounds; ++round)
         {
             router.run(now);
             owner.run(now);
@@ -142,18 +143,18 @@
 
 std::optional<rejection> node_scheduler::submit(request incoming, base::time_point now)
 {
-    auto refused = parts_->router.submit(std::move(incoming), now);
-    if (!refused)
+    auto rejected = parts_->router.submit(std::move(incoming), now);
+    if (!rejected)
     {
-        parts_->settle(now);
+        parts_->run_until_idle(now);
     }
-    return refused;
+    return rejected;
 }
 
 void node_scheduler::cancel(base::request_number number, base::time_point now)
 {
     parts_->router.cancel(number, now);
-    parts_->settle(now);
+    parts_->run_until_idle(now);
 }
 
 void node_scheduler::progress(base::request_number number, base::cost streamed,
@@ -167,13 +168,13 @@
                               base::time_point now)
 {
     parts_->router.finished(number, total, result, now);
-    parts_->settle(now);
+    parts_->run_until_idle(now);
 }
 
 bool node_scheduler::retry(base::request_number number, base::time_point now)
 {
     const bool queued = parts_->router.retry(number, now);
-    parts_->settle(now);
+    parts_->run_until_idle(now);
     return queued;
 }
 
@@ -181,19 +182,19 @@
                              base::time_point now)
 {
     parts_->dispatch(from, message, now);
-    parts_->settle(now);
+    parts_->run_until_idle(now);
 }
 
 void node_scheduler::observe_load(const base::upstream_id& upstream, base::slots running,
                                   base::slots waiting, base::duration age, base::time_point now)
 {
     parts_->owner.observe_load(upstream, running, waiting, age, now);
-    parts_->settle(now);
+    parts_->run_until_idle(now);
 }
 
 void node_scheduler::tick(base::time_point now)
 {
-    parts_->settle(now);
+    parts_->run_until_idle(now);
 }
 
 std::optional<base::time_point> node_scheduler::next_wakeup() const
@@ -209,14 +210,14 @@
 
 scheduler_snapshot node_scheduler::snapshot(base::time_point now) const
 {
-    scheduler_snapshot out;
-    out.draining = parts_->draining;
-    out.view = parts_->context.view.hash();
-    out.counters = parts_->context.counters;
-    parts_->totals.fill(out, parts_->owner.demanded(), now);
-    parts_->router.fill(out, now);
-    parts_->owner.fill(out, now);
-    return out;
+    scheduler_snapshot result;
+    result.draining = parts_->draining;
+    result.view = parts_->context.view.hash();
+    result.counters = parts_->context.counters;
+    parts_->totals.fill(result, parts_->owner.demanded(), now);
+    parts_->router.fill(result, now);
+    parts_->owner.fill(result, now);
+    return result;
 }
 
 }  // namespace caraway::scheduling
--- a/src/libcaraway/scheduling/node_scheduler.hpp
+++ b/src/libcaraway/scheduling/node_scheduler.hpp
@@ -16,13 +16,13 @@
 namespace caraway::scheduling
 {
 
-/// One router's part in sharing the upstreams: queues its callers' requests, asks the upstreams'
-/// owners for slots, and is itself the owner of some upstreams and the aggregator of some accounts.
+/// One router's scheduler. Queues the requests of this router's callers and asks the owners of the
+/// upstreams for slots; is itself the owner of some upstreams and the aggregator of some accounts.
 ///
-/// A state machine without I/O. After each call, take and carry out the actions; call tick() at
-/// next_wakeup() at the latest. Every request that submit() accepted gets either start_attempt or
-/// give_up, unless cancel() came first; every start_attempt must be followed by finished(), also
-/// after cancel(). One thread only.
+/// A state machine without I/O. After each call, take the actions and execute them; call tick() at
+/// next_wakeup() at the latest. Every request accepted by submit() gets either start_attempt or
+/// give_up, unless cancel() is called first; every start_attempt must be followed by finished(),
+/// also after cancel(). Not thread-safe: use from one thread only.
 class node_scheduler
 {
 public:
@@ -32,28 +32,30 @@
     node_scheduler& operator=(node_scheduler&&) noexcept;
 
     void apply_configuration(const config::configuration& content, base::time_point now);
-    /// All live routers, this one included (it is added if it isn't). Nothing is granted before the
-    /// first call; make it when membership has had the time to learn of the others.
+    /// Sets all live routers; this one is added if it is missing. Nothing is granted before the
+    /// first call, so make the call once membership has had time to discover the other routers.
     void apply_members(std::vector<member> members, base::time_point now);
-    /// This router is on its way out: it stops being an owner. Requests are still taken.
+    /// A draining router stops being an owner; requests are still accepted.
     void set_draining(bool draining, base::time_point now);
 
-    /// Queues a request, or says at once why not.
+    /// Queues a request, or returns at once why it is rejected.
     std::optional<rejection> submit(request incoming, base::time_point now);
-    /// The caller went away. A waiting request is forgotten; a running one needs finished() still.
+    /// The caller has disconnected. A waiting request is dropped; a running one still needs
+    /// finished().
     void cancel(base::request_number number, base::time_point now);
-    /// What a running request has cost so far, absolute.
+    /// Reports the total cost of a running request so far (absolute, not a difference).
     void progress(base::request_number number, base::cost streamed, base::time_point now);
-    /// Ends the attempt, frees its slot and settles its cost (0 if it didn't run).
+    /// Ends the attempt, frees its slot and charges its final cost (0 if the attempt did not run).
     void finished(base::request_number number, base::cost total, attempt_result result,
                   base::time_point now);
-    /// Puts a request whose attempt has finished back at the head of its queue, not to the same
-    /// upstream at once. False when its budget or deadline forbids; then it is over.
+    /// Puts a request whose attempt has finished back at the head of its queue; for a while the
+    /// request avoids the same upstream. Returns false if the retry budget or the deadline forbids
+    /// a retry; the request is then finished.
     bool retry(base::request_number number, base::time_point now);
 
-    /// A message of another router. `from` is authenticated by the caller.
+    /// Handles a message of another router. The caller has authenticated `from`.
     void receive(const base::node_ref& from, const peer_message& message, base::time_point now);
-    /// An upstream's own report of its load, taken `age` ago.
+    /// Handles a load report of an upstream, which is `age` old.
     void observe_load(const base::upstream_id& upstream, base::slots running, base::slots waiting,
                       base::duration age, base::time_point now);
 
--- a/src/libcaraway/scheduling/outbox.cpp
+++ b/src/libcaraway/scheduling/outbox.cpp
@@ -17,9 +17,9 @@
     actions_.emplace_back(send_message{.to = to, .message = std::move(message)});
 }
 
-void outbox::push(action next)
+void outbox::push(action queued)
 {
-    actions_.push_back(std::move(next));
+    actions_.push_back(std::move(queued));
 }
 
 std::vector<action> outbox::take()
--- a/src/libcaraway/scheduling/outbox.hpp
+++ b/src/libcaraway/scheduling/outbox.hpp
@@ -9,17 +9,18 @@
 namespace caraway::scheduling
 {
 
-/// Collects what is to be done. Messages to this node itself take the same way but for the network.
+/// Collects the actions to be executed. Messages to this node itself are queued separately and do
+/// not use the network.
 class outbox
 {
 public:
     explicit outbox(base::node_ref self);
 
     void send(const base::node_ref& to, peer_message message);
-    void push(action next);
+    void push(action queued);
 
     std::vector<action> take();
-    /// The next message to this node itself.
+    /// Removes and returns the next message to this node itself; nothing if there is none.
     std::optional<peer_message> take_local();
 
 private:
--- a/src/libcaraway/scheduling/owner_role.cpp
+++ b/src/libcaraway/scheduling/owner_role.cpp
@@ -10,13 +10,14 @@
 namespace
 {
 
-/// Reports missed in a row before what they would tell counts as gone.
-constexpr int reports_missed = 3;
+/// A router that misses this many reports in a row is taken to run nothing at this owner's
+/// upstreams.
+constexpr int max_missed_reports = 3;
 
-std::optional<base::time_point> earliest(std::optional<base::time_point> a,
-                                         std::optional<base::time_point> b)
+std::optional<base::time_point> earliest(std::optional<base::time_point> first,
+                                         std::optional<base::time_point> second)
 {
-    return !a ? b : !b ? a : std::min(a, b);
+    return !first ? second : !second ? first : std::min(first, second);
 }
 
 }  // namespace
@@ -34,20 +35,20 @@
     {
         return context_.view.find(node) != nullptr;
     };
-    const auto unwanted = [&](const base::node_ref& router, const grant& each)
+    const auto should_withdraw = [&](const base::node_ref& router, const grant& given)
     {
-        return !alive(router) || context_.view.owners().count(each.upstream) == 0 ||
-               context_.view.owners().at(each.upstream) != context_.view.self();
+        return !alive(router) || context_.view.owners().count(given.upstream) == 0 ||
+               context_.view.owners().at(given.upstream) != context_.view.self();
     };
-    for (const auto& [router, given] : sender_.withdraw(unwanted))
+    for (const auto& [router, given] : sender_.withdraw(should_withdraw))
     {
-        take_back(router, given);
+        release_grant(router, given);
     }
     sender_.retain(alive);
     board_.retain(alive);
-    std::erase_if(declined_, [&](const auto& each) { return !alive(std::get<0>(each.first)); });
+    std::erase_if(declined_, [&](const auto& entry) { return !alive(std::get<0>(entry.first)); });
     ledger_.view_changed(now);
-    // What routers run at an upstream that has just come here may have been reported before.
+    // Routers may have reported what they run at an upstream before this node became its owner.
     for (const auto& [router, entry] : board_.all())
     {
         ledger_.set_held(router, entry.report.holdings);
@@ -75,7 +76,7 @@
         ledger_.remove_grant(given.upstream);
         if (router == context_.view.self())
         {
-            // Bound, it is in this node's own total already.
+            // A grant that this node bound itself is already in its own total.
             totals_.pending().remove(router, given.number);
         }
         if (!declined.contains(given.number))
@@ -84,20 +85,21 @@
         }
         totals_.pending().remove(router, given.number);
         const account key{.service = given.service, .workspace = given.workspace};
-        const bool waits =
-            std::any_of(report.demands.begin(), report.demands.end(),
-                        [&](const demand& each)
-                        { return each.service == key.service && each.workspace == key.workspace; });
-        if (waits)
+        const bool has_demand = std::any_of(report.demands.begin(), report.demands.end(),
+                                            [&](const demand& reported) {
+                                                return reported.service == key.service &&
+                                                       reported.workspace == key.workspace;
+                                            });
+        if (has_demand)
         {
-            // Without a pause, offer and refusal would follow each other as fast as messages
+            // Without a back-off, offers and refusals would follow each other as fast as messages
             // travel.
             declined_[{router, given.upstream, key}] = now + context_.options.decline_backoff;
         }
     }
 }
 
-void owner_role::take_back(const base::node_ref& router, const grant& given)
+void owner_role::release_grant(const base::node_ref& router, const grant& given)
 {
     ledger_.remove_grant(given.upstream);
     totals_.pending().remove(router, given.number);
@@ -111,7 +113,7 @@
 
 void owner_role::run(base::time_point now)
 {
-    forget_stale(now);
+    expire_stale(now);
     ledger_.finish_takeovers(
         [this](const base::node_ref& router, const std::vector<std::uint64_t>& views)
         {
@@ -125,21 +127,21 @@
     send_hints(now);
 }
 
-void owner_role::forget_stale(base::time_point now)
+void owner_role::expire_stale(base::time_point now)
 {
     for (const auto& [router, given] : sender_.reclaim(now))
     {
         ++context_.counters.grants_reclaimed;
-        take_back(router, given);
+        release_grant(router, given);
         board_.forget_demand(router);
     }
-    const auto longest = reports_missed * context_.options.report_slow_refresh;
-    const auto silent = board_.expire(longest, now);
-    for (const auto& router : silent)
+    const auto max_age = max_missed_reports * context_.options.report_slow_refresh;
+    const auto silent_routers = board_.expire(max_age, now);
+    for (const auto& router : silent_routers)
     {
         ledger_.set_held(router, {});
     }
-    std::erase_if(declined_, [now](const auto& each) { return each.second <= now; });
+    std::erase_if(declined_, [now](const auto& entry) { return entry.second <= now; });
 }
 
 void owner_role::grant_free_slots(base::time_point now)
@@ -151,13 +153,13 @@
     };
     for (const auto& service : ledger_.services())
     {
-        while (const auto found = picker_.next(service, rule, now))
+        while (const auto picked = picker_.next(service, rule, now))
         {
-            totals_.note_granted(found->key, now);
-            const auto number = sender_.add(found->router, found->upstream, found->key, now);
-            ledger_.add_grant(found->upstream);
-            totals_.pending().add(found->router, number, found->key, found->estimate, now);
-            affinity_.note(found->affinity, found->upstream);
+            totals_.record_granted(picked->key, now);
+            const auto number = sender_.add(picked->router, picked->upstream, picked->key, now);
+            ledger_.add_grant(picked->upstream);
+            totals_.pending().add(picked->router, number, picked->key, picked->estimate, now);
+            affinity_.note(picked->affinity, picked->upstream);
             ++context_.counters.grants_made;
         }
     }
@@ -181,19 +183,19 @@
     {
         context_.out.send(router, grant_list{.router_incarnation = router.life,
                                              .grants = sender_.list_for(router, now),
-                                             .free = free_now()});
+                                             .free = current_free_slots()});
     }
 }
 
-/// Routers that never ask this owner can't know that it has free slots.
+/// Routers that do not ask this owner cannot know that it has free slots.
 void owner_role::send_hints(base::time_point now)
 {
-    if (now < next_hint_ || !asked_by_few())
+    if (now < next_hint_ || !asked_by_subset())
     {
         return;
     }
     next_hint_ = now + context_.options.report_refresh;
-    const auto free = free_now();
+    const auto free = current_free_slots();
     if (free.empty())
     {
         return;
@@ -211,19 +213,19 @@
     }
 }
 
-bool owner_role::asked_by_few() const
+bool owner_role::asked_by_subset() const
 {
     return context_.options.mode == policy::full &&
            context_.view.members().size() > context_.options.owners_asked;
 }
 
-std::vector<free_slots> owner_role::free_now() const
+std::vector<free_slots> owner_role::current_free_slots() const
 {
     std::vector<free_slots> hints;
     for (const auto& service : ledger_.services())
     {
         base::slots free = 0;
-        for (const auto& id : ledger_.free_of(service))
+        for (const auto& id : ledger_.free_upstreams(service))
         {
             free += ledger_.free(id);
         }
@@ -242,7 +244,7 @@
     {
         next = earliest(next, until);
     }
-    if (asked_by_few() && !free_now().empty())
+    if (asked_by_subset() && !current_free_slots().empty())
     {
         next = earliest(next, next_hint_);
     }
@@ -254,13 +256,13 @@
     return board_.demanded();
 }
 
-void owner_role::fill(scheduler_snapshot& out, base::time_point now) const
+void owner_role::fill(scheduler_snapshot& snapshot, base::time_point now) const
 {
-    out.owned = ledger_.states();
-    out.grants = sender_.states(now);
-    for (auto& each : out.accounts)
+    snapshot.owned = ledger_.states();
+    snapshot.grants = sender_.states(now);
+    for (auto& state : snapshot.accounts)
     {
-        each.demanded = board_.waiting(each.key);
+        state.demanded = board_.waiting(state.key);
     }
 }
 
--- a/src/libcaraway/scheduling/owner_role.hpp
+++ b/src/libcaraway/scheduling/owner_role.hpp
@@ -16,40 +16,40 @@
 namespace caraway::scheduling
 {
 
-/// This node's part as the owner of upstreams: grants their free slots to the requests that wait.
+/// The owner side of this node: grants the free slots of its upstreams to waiting requests.
 class owner_role
 {
 public:
     owner_role(node_context& context, totals_role& totals);
 
-    /// Members or upstreams changed.
+    /// Call after members or upstreams have changed.
     void view_changed(base::time_point now);
     void receive(const base::node_ref& router, const router_report& report, base::time_point now);
     void observe_load(const base::upstream_id& upstream, base::slots running, base::slots waiting,
                       base::duration age, base::time_point now);
 
-    /// Grants what is free and sends what is due.
+    /// Grants free slots and sends the messages that are due.
     void run(base::time_point now);
     std::optional<base::time_point> next_wakeup() const;
 
-    /// Accounts that wait for a slot of this owner.
+    /// Accounts with requests that wait for a slot of this owner.
     std::vector<account> demanded() const;
-    void fill(scheduler_snapshot& out, base::time_point now) const;
+    void fill(scheduler_snapshot& snapshot, base::time_point now) const;
 
 private:
     using offer = std::tuple<base::node_ref, base::upstream_id, account>;
 
     void acknowledge(const base::node_ref& router, const router_report& report,
                      base::time_point now);
-    void take_back(const base::node_ref& router, const grant& given);
-    void forget_stale(base::time_point now);
+    void release_grant(const base::node_ref& router, const grant& given);
+    void expire_stale(base::time_point now);
     void grant_free_slots(base::time_point now);
     bool may_offer(const base::node_ref& router, const base::upstream_id& upstream,
                    const account& key, base::time_point now) const;
     void send_grants(base::time_point now);
     void send_hints(base::time_point now);
-    std::vector<free_slots> free_now() const;
-    bool asked_by_few() const;
+    std::vector<free_slots> current_free_slots() const;
+    bool asked_by_subset() const;
 
     node_context& context_;
     totals_role& totals_;
@@ -58,7 +58,8 @@
     grant_sender sender_;
     prefix_affinity affinity_;
     grant_picker picker_;
-    /// Offers that a router declined though it had work, and until when they aren't repeated.
+    /// Offers that a router declined although it had waiting requests, and the time until which
+    /// they are not repeated.
     std::map<offer, base::time_point> declined_;
     base::time_point next_hint_;
 };
--- a/src/libcaraway/scheduling/report_schedule.cpp
+++ b/src/libcaraway/scheduling/report_schedule.cpp
@@ -9,8 +9,8 @@
 namespace
 {
 
-/// An empty report is sent so many times more. If all get lost, the owner takes the slots for held
-/// until it drops what it heard last as stale.
+/// An empty report is sent this many more times. If all copies are lost, the owner counts the slots
+/// as held until it drops the last report it received as stale.
 constexpr std::uint32_t empty_report_repeats = 2;
 
 }  // namespace
@@ -22,9 +22,9 @@
 
 void report_schedule::mark_changed(const base::node_ref& owner, base::time_point now)
 {
-    auto& each = peers_[owner];
-    const bool wait = each.last_sent && owner != self_;
-    mark_at(each, wait ? std::max(now, *each.last_sent + options_.report_delay) : now);
+    auto& state = peers_[owner];
+    const bool must_wait = state.last_sent && owner != self_;
+    mark_at(state, must_wait ? std::max(now, *state.last_sent + options_.report_delay) : now);
 }
 
 void report_schedule::mark_deferred(const base::node_ref& owner, base::time_point now)
@@ -32,18 +32,18 @@
     mark_at(peers_[owner], now + options_.report_deferred_delay);
 }
 
-void report_schedule::mark_at(peer& each, base::time_point when)
+void report_schedule::mark_at(peer& state, base::time_point due_time)
 {
-    each.due_at = each.due_at ? std::min(*each.due_at, when) : when;
-    each.changed = true;
+    state.due_at = state.due_at ? std::min(*state.due_at, due_time) : due_time;
+    state.changed = true;
 }
 
 std::vector<base::node_ref> report_schedule::due(base::time_point now) const
 {
     std::vector<base::node_ref> owners;
-    for (const auto& [owner, each] : peers_)
+    for (const auto& [owner, state] : peers_)
     {
-        if (each.due_at && *each.due_at <= now)
+        if (state.due_at && *state.due_at <= now)
         {
             owners.push_back(owner);
         }
@@ -51,33 +51,33 @@
     return owners;
 }
 
-std::uint64_t report_schedule::record_sent(const base::node_ref& owner, bool empty,
+std::uint64_t report_schedule::record_sent(const base::node_ref& owner, bool is_empty,
                                            base::time_point now)
 {
-    auto& each = peers_[owner];
-    each.last_sent = now;
-    each.due_at.reset();
-    const bool changed = std::exchange(each.changed, false);
-    each.empty_repeats = empty && !changed ? each.empty_repeats + 1 : 0;
+    auto& state = peers_[owner];
+    state.last_sent = now;
+    state.due_at.reset();
+    const bool changed = std::exchange(state.changed, false);
+    state.empty_repeats = is_empty && !changed ? state.empty_repeats + 1 : 0;
     if (changed)
     {
-        each.due_at = now + options_.report_refresh;
+        state.due_at = now + options_.report_refresh;
     }
-    else if (!empty || each.empty_repeats < empty_report_repeats)
+    else if (!is_empty || state.empty_repeats < empty_report_repeats)
     {
-        each.due_at = now + options_.report_slow_refresh;
+        state.due_at = now + options_.report_slow_refresh;
     }
-    return ++each.sequence;
+    return ++state.sequence;
 }
 
 std::optional<base::time_point> report_schedule::next_wakeup() const
 {
     std::optional<base::time_point> next;
-    for (const auto& [owner, each] : peers_)
+    for (const auto& [owner, state] : peers_)
     {
-        if (each.due_at && (!next || *each.due_at < *next))
+        if (state.due_at && (!next || *state.due_at < *next))
         {
-            next = each.due_at;
+            next = state.due_at;
         }
     }
     return next;
@@ -85,7 +85,7 @@
 
 void report_schedule::retain(const std::function<bool(const base::node_ref&)>& alive)
 {
-    std::erase_if(peers_, [&](const auto& each) { return !alive(each.first); });
+    std::erase_if(peers_, [&](const auto& entry) { return !alive(entry.first); });
 }
 
 }  // namespace caraway::scheduling
--- a/src/libcaraway/scheduling/report_schedule.hpp
+++ b/src/libcaraway/scheduling/report_schedule.hpp
@@ -13,22 +13,22 @@
 namespace caraway::scheduling
 {
 
-/// When to report to which owner: soon after a change, together with what else changes; again while
-/// there is something to say, in case a report was lost.
+/// Schedules the reports to each owner: soon after a change, together with other changes; and again
+/// while the report is not empty, in case one was lost.
 class report_schedule
 {
 public:
-    /// Reports to `self` cost nothing and don't wait.
+    /// Reports to `self` use no network and are not delayed.
     report_schedule(const scheduler_options& options, base::node_ref self);
 
-    /// The owner must learn of a change as soon as reports may follow each other.
+    /// A change that the owner must receive as soon as the minimum interval between reports allows.
     void mark_changed(const base::node_ref& owner, base::time_point now);
-    /// The owner should learn of a change, but nothing waits for it.
+    /// A change that the owner should receive but that no request waits for.
     void mark_deferred(const base::node_ref& owner, base::time_point now);
 
     std::vector<base::node_ref> due(base::time_point now) const;
-    /// A report is sent now; returns its sequence number.
-    std::uint64_t record_sent(const base::node_ref& owner, bool empty, base::time_point now);
+    /// Records that a report is sent now; returns its sequence number.
+    std::uint64_t record_sent(const base::node_ref& owner, bool is_empty, base::time_point now);
 
     std::optional<base::time_point> next_wakeup() const;
     void retain(const std::function<bool(const base::node_ref&)>& alive);
@@ -39,12 +39,12 @@
         std::uint64_t sequence = 0;
         std::optional<base::time_point> last_sent;
         std::optional<base::time_point> due_at;
-        /// Sent because of a change rather than to refresh.
+        /// True if the next report is due to a change, false if it only repeats the last one.
         bool changed = false;
         std::uint32_t empty_repeats = 0;
     };
 
-    void mark_at(peer& each, base::time_point when);
+    void mark_at(peer& state, base::time_point due_time);
 
     const scheduler_options& options_;
     base::node_ref self_;
--- a/src/libcaraway/scheduling/service_directory.cpp
+++ b/src/libcaraway/scheduling/service_directory.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-constexpr double smallest_cost = 1;
+constexpr double min_cost = 1;
 
 template <class Map>
 const typename Map::mapped_type* find(const Map& map, const typename Map::key_type& key)
@@ -69,7 +69,7 @@
 base::cost service_directory::default_cost(const base::service_id& id) const
 {
     const auto* found = service(id);
-    return base::cost(std::max(found ? found->default_cost.value() : 0, smallest_cost));
+    return base::cost(std::max(found ? found->default_cost.value() : 0, min_cost));
 }
 
 base::slots service_directory::slots_of(const base::service_id& id) const
--- a/src/libcaraway/scheduling/service_rate.cpp
+++ b/src/libcaraway/scheduling/service_rate.cpp
@@ -9,42 +9,42 @@
 namespace
 {
 
-constexpr double decay_seconds = 30;
-constexpr double starts_needed = 3;
+constexpr double decay_time_s = 30;
+constexpr double min_starts = 3;
 
 }  // namespace
 
-void service_rate::advance(meter& each, base::time_point now)
+void service_rate::advance(meter& state, base::time_point now)
 {
-    if (each.waiting)
+    if (state.backlogged)
     {
-        const double passed = std::chrono::duration<double>(now - each.updated).count();
-        const double kept = std::exp(-passed / decay_seconds);
-        each.starts *= kept;
-        each.seconds = each.seconds * kept + decay_seconds * (1 - kept);
+        const double elapsed = std::chrono::duration<double>(now - state.updated).count();
+        const double retained = std::exp(-elapsed / decay_time_s);
+        state.starts *= retained;
+        state.seconds = state.seconds * retained + decay_time_s * (1 - retained);
     }
-    each.updated = now;
+    state.updated = now;
 }
 
 void service_rate::record_backlog(const account& key, base::time_point now)
 {
-    auto& each = meters_[key];
-    advance(each, now);
-    each.waiting = true;
+    auto& state = meters_[key];
+    advance(state, now);
+    state.backlogged = true;
 }
 
 void service_rate::record_start(const account& key, base::time_point now)
 {
-    auto& each = meters_[key];
-    advance(each, now);
-    each.starts += 1;
+    auto& state = meters_[key];
+    advance(state, now);
+    state.starts += 1;
 }
 
 void service_rate::record_empty(const account& key, base::time_point now)
 {
-    auto& each = meters_[key];
-    advance(each, now);
-    each.waiting = false;
+    auto& state = meters_[key];
+    advance(state, now);
+    state.backlogged = false;
 }
 
 std::optional<double> service_rate::rate(const account& key, base::time_point now) const
@@ -54,13 +54,13 @@
     {
         return std::nullopt;
     }
-    meter each = found->second;
-    advance(each, now);
-    if (each.starts < starts_needed || each.seconds <= 0)
+    meter state = found->second;
+    advance(state, now);
+    if (state.starts < min_starts || state.seconds <= 0)
     {
         return std::nullopt;
     }
-    return each.starts / each.seconds;
+    return state.starts / state.seconds;
 }
 
 }  // namespace caraway::scheduling
--- a/src/libcaraway/scheduling/service_rate.hpp
+++ b/src/libcaraway/scheduling/service_rate.hpp
@@ -9,30 +9,31 @@
 namespace caraway::scheduling
 {
 
-/// How fast this router's requests of an account get started while they have to wait.
+/// Rate at which this router's requests of an account are started while requests wait.
 class service_rate
 {
 public:
-    /// Something began to wait; idle time before it doesn't count.
+    /// Requests of the account started to wait; idle time before that is not counted.
     void record_backlog(const account& key, base::time_point now);
     void record_start(const account& key, base::time_point now);
-    /// Nothing waits any more.
+    /// No request of the account waits any longer.
     void record_empty(const account& key, base::time_point now);
 
-    /// Starts a second; nothing until it was measured over enough of them.
+    /// Starts per second; nothing until enough starts have been observed.
     std::optional<double> rate(const account& key, base::time_point now) const;
 
 private:
     struct meter
     {
-        bool waiting = false;
+        bool backlogged = false;
         base::time_point updated;
-        /// Both decay over the same time, so that their ratio is a rate.
+        /// Number of starts and backlogged time in seconds. Both decay at the same rate, so that
+        /// their ratio is a rate.
         double starts = 0;
         double seconds = 0;
     };
 
-    static void advance(meter& each, base::time_point now);
+    static void advance(meter& state, base::time_point now);
 
     std::map<account, meter> meters_;
 };
--- a/src/libcaraway/scheduling/service_totals.cpp
+++ b/src/libcaraway/scheduling/service_totals.cpp
@@ -11,66 +11,66 @@
 
 constexpr std::uint32_t refreshes_after_change = 3;
 
-/// Weight of the newest interval in the rate at which others are served.
+/// Weight of the newest interval in the smoothed rate at which the other nodes render service.
 constexpr double rate_weight = 0.3;
-/// The rate isn't trusted for longer than this.
-constexpr std::chrono::seconds longest_extrapolation{2};
+/// Longest time over which that rate is extrapolated.
+constexpr std::chrono::seconds max_extrapolation{2};
 
-void learn_rate(account_totals& each, base::cost others, bool begins, base::time_point now)
+void update_rate(account_totals& totals, base::cost others, bool new_epoch, base::time_point now)
 {
-    if (!each.heard_at || now - *each.heard_at > longest_extrapolation)
+    if (!totals.updated_at || now - *totals.updated_at > max_extrapolation)
     {
-        each.others_rate = {};
+        totals.others_rate = {};
         return;
     }
-    const double seconds = std::chrono::duration<double>(now - *each.heard_at).count();
-    if (begins || seconds <= 0)
+    const double seconds = std::chrono::duration<double>(now - *totals.updated_at).count();
+    if (new_epoch || seconds <= 0)
     {
         return;
     }
-    const auto seen = std::max((others - each.others) * (1 / seconds), base::cost{});
-    each.others_rate += (seen - each.others_rate) * rate_weight;
+    const auto measured_rate = std::max((others - totals.others) * (1 / seconds), base::cost{});
+    totals.others_rate += (measured_rate - totals.others_rate) * rate_weight;
 }
 
-void changed(account_totals& each)
+void mark_changed(account_totals& totals)
 {
-    ++each.version;
-    each.refreshes_left = refreshes_after_change;
+    ++totals.version;
+    totals.refreshes_left = refreshes_after_change;
 }
 
 }  // namespace
 
 void service_totals::charge(const account& key, base::cost delta)
 {
-    auto& each = accounts_[key];
-    each.own += delta;
-    changed(each);
+    auto& totals = accounts_[key];
+    totals.own += delta;
+    mark_changed(totals);
 }
 
 bool service_totals::merge(const service_sum& sum, base::time_point now)
 {
-    auto& each = accounts_[{.service = sum.service, .workspace = sum.workspace}];
-    if (sum.epoch < each.epoch)
+    auto& totals = accounts_[{.service = sum.service, .workspace = sum.workspace}];
+    if (sum.epoch < totals.epoch)
     {
         return false;
     }
-    const bool begins = sum.epoch > each.epoch;
-    if (begins)
+    const bool new_epoch = sum.epoch > totals.epoch;
+    if (new_epoch)
     {
-        // The lift holds what the aggregator had heard; only what it hasn't belongs to the new
-        // epoch.
-        each.epoch = sum.epoch;
-        each.own -= each.reported;
-        each.reported = {};
-        each.lift = sum.lift;
-        changed(each);
+        // `lift` contains what this node had reported to the aggregator; only what was not reported
+        // yet belongs to the new epoch.
+        totals.epoch = sum.epoch;
+        totals.own -= totals.reported;
+        totals.reported = {};
+        totals.lift = sum.lift;
+        mark_changed(totals);
     }
-    each.lift = std::max(each.lift, sum.lift);
+    totals.lift = std::max(totals.lift, sum.lift);
     const auto others = sum.sum - sum.included;
-    learn_rate(each, others, begins, now);
-    each.others = others;
-    each.heard_at = now;
-    return begins;
+    update_rate(totals, others, new_epoch, now);
+    totals.others = others;
+    totals.updated_at = now;
+    return new_epoch;
 }
 
 bool service_totals::changed_for(const account& key, const base::node_ref& aggregator) const
@@ -80,53 +80,53 @@
     {
         return false;
     }
-    const auto sent = found->second.sent.find(aggregator);
-    return sent == found->second.sent.end() || sent->second != found->second.version;
+    const auto sent = found->second.sent_versions.find(aggregator);
+    return sent == found->second.sent_versions.end() || sent->second != found->second.version;
 }
 
 service_total service_totals::report(const account& key, const base::node_ref& aggregator)
 {
-    auto& each = accounts_[key];
-    each.sent[aggregator] = each.version;
-    each.reported = each.own;
+    auto& totals = accounts_[key];
+    totals.sent_versions[aggregator] = totals.version;
+    totals.reported = totals.own;
     return {.service = key.service,
             .workspace = key.workspace,
-            .epoch = each.epoch,
-            .lift = each.lift,
-            .total = each.own};
+            .epoch = totals.epoch,
+            .lift = totals.lift,
+            .total = totals.own};
 }
 
 void service_totals::refresh()
 {
-    for (auto& [key, each] : accounts_)
+    for (auto& [key, totals] : accounts_)
     {
-        if (each.refreshes_left > 0)
+        if (totals.refreshes_left > 0)
         {
-            --each.refreshes_left;
-            each.sent.clear();
+            --totals.refreshes_left;
+            totals.sent_versions.clear();
         }
     }
 }
 
-bool service_totals::wants_refresh() const
+bool service_totals::needs_refresh() const
 {
     return std::any_of(accounts_.begin(), accounts_.end(),
-                       [](const auto& each) { return each.second.refreshes_left > 0; });
+                       [](const auto& entry) { return entry.second.refreshes_left > 0; });
 }
 
 base::cost service_totals::rendered(const account& key, base::time_point now) const
 {
-    const auto* each = find(key);
-    if (!each)
+    const auto* totals = find(key);
+    if (!totals)
     {
         return {};
     }
-    base::cost sum = each->lift + each->own + each->others;
-    if (each->heard_at)
+    base::cost sum = totals->lift + totals->own + totals->others;
+    if (totals->updated_at)
     {
-        const base::duration longest = longest_extrapolation;
-        const auto age = std::min(now - *each->heard_at, longest);
-        sum += each->others_rate * std::chrono::duration<double>(age).count();
+        const base::duration max_age = max_extrapolation;
+        const auto age = std::min(now - *totals->updated_at, max_age);
+        sum += totals->others_rate * std::chrono::duration<double>(age).count();
     }
     return sum;
 }
--- a/src/libcaraway/scheduling/service_totals.hpp
+++ b/src/libcaraway/scheduling/service_totals.hpp
@@ -11,50 +11,51 @@
 namespace caraway::scheduling
 {
 
-/// What this node knows of one account: its own total, and the other nodes' as last heard.
+/// Service rendered to one account: this node's own total, and the other nodes' as last received.
 struct account_totals
 {
     std::uint32_t epoch = 0;
     base::cost lift;
-    /// Rendered through this node in this epoch. Falls when an estimate turns out too high, also
-    /// below 0 if it was charged in an earlier epoch.
+    /// Rendered through this node in this epoch. Decreases when an estimate turns out too high, and
+    /// is negative if that estimate was charged in an earlier epoch.
     base::cost own;
-    /// `own` as last sent to the aggregators.
+    /// `own` as last sent to an aggregator.
     base::cost reported;
     base::cost others;
-    /// How fast `others` rises, a second.
+    /// Rate at which `others` increases, per second.
     base::cost others_rate;
-    std::optional<base::time_point> heard_at;
-    /// Rises with each change of epoch, lift or `own`.
+    std::optional<base::time_point> updated_at;
+    /// Incremented with each change of epoch, lift or `own`.
     std::uint64_t version = 0;
-    /// The version that each aggregator was sent.
-    std::map<base::node_ref, std::uint64_t> sent;
-    /// Periodic repeats still to be sent, in case a report got lost.
+    /// The version last sent to each aggregator.
+    std::map<base::node_ref, std::uint64_t> sent_versions;
+    /// Number of periodic repetitions still to be sent, in case a report was lost.
     std::uint32_t refreshes_left = 0;
 };
 
-/// This node's view of how much service each account has had.
+/// This node's view of the service that each account has received.
 class service_totals
 {
 public:
-    /// Adds to what this node has rendered; negative to give back.
+    /// Adds to the service that this node has rendered; a negative `delta` refunds.
     void charge(const account& key, base::cost delta);
-    /// Takes in an aggregator's sum. True if it began a new epoch for this node.
+    /// Merges an aggregator's sum. Returns true if it started a new epoch for this node.
     bool merge(const service_sum& sum, base::time_point now);
 
-    /// Whether that aggregator hasn't been sent the present total.
+    /// Whether the current total has not been sent to `aggregator` yet.
     bool changed_for(const account& key, const base::node_ref& aggregator) const;
-    /// Own total as it is; counts as sent to that aggregator.
+    /// Returns the current own total and records it as sent to `aggregator`.
     service_total report(const account& key, const base::node_ref& aggregator);
-    /// Makes all that changed lately be sent anew, in case a report got lost.
+    /// Marks all recently changed totals to be sent again, in case a report was lost.
     void refresh();
-    bool wants_refresh() const;
+    bool needs_refresh() const;
 
-    /// What the whole fleet has rendered by now, lift included: what was heard of the others goes
-    /// on as fast as lately. Accounts of different aggregators are heard of at different times;
-    /// compared as they are, the one heard of last would seem to have had the most.
+    /// Service rendered by the whole fleet up to now, including the lift. The other nodes' part is
+    /// extrapolated at its recent rate: sums of different aggregators arrive at different times,
+    /// and without extrapolation the account with the newest sum would seem to have received the
+    /// most.
     base::cost rendered(const account& key, base::time_point now) const;
-    /// Null if nothing is known.
+    /// Null if the account is unknown.
     const account_totals* find(const account& key) const;
     const std::map<account, account_totals>& all() const;
 
--- a/src/libcaraway/scheduling/slot_ledger.cpp
+++ b/src/libcaraway/scheduling/slot_ledger.cpp
@@ -5,7 +5,7 @@
 namespace caraway::scheduling
 {
 
-base::slots slot_ledger::slot_book::held_in_all() const
+base::slots slot_ledger::slot_record::total_held() const
 {
     base::slots sum = 0;
     for (const auto& [router, count] : held)
@@ -24,10 +24,10 @@
     {
         return;
     }
-    std::erase_if(books_,
-                  [&](const auto& each)
+    std::erase_if(records_,
+                  [&](const auto& entry)
                   {
-                      const auto owner = view.owners().find(each.first);
+                      const auto owner = view.owners().find(entry.first);
                       return owner == view.owners().end() || owner->second != view.self();
                   });
     for (const auto& [id, owner] : view.owners())
@@ -36,115 +36,116 @@
         {
             continue;
         }
-        const auto& content = *context_.directory.upstream(id);
+        const auto& configured = *context_.directory.upstream(id);
         const auto headroom = context_.options.headroom;
-        auto place = books_.find(id);
-        if (place == books_.end())
+        auto position = records_.find(id);
+        if (position == records_.end())
         {
-            slot_book taken{.service = content.service,
-                            .window = upstream_window(content.slots, headroom),
-                            .held = {},
-                            .taking_over = takeover{.until = now + context_.options.takeover_wait,
-                                                    .views = {}}};
-            place = books_.emplace(id, std::move(taken)).first;
+            slot_record added{.service = configured.service,
+                              .window = upstream_window(configured.slots, headroom),
+                              .held = {},
+                              .taking_over = takeover{
+                                  .deadline = now + context_.options.takeover_wait, .views = {}}};
+            position = records_.emplace(id, std::move(added)).first;
         }
-        auto& book = place->second;
-        book.service = content.service;
-        book.draining = content.draining;
-        book.window.configure(content.slots, headroom);
-        std::erase_if(book.held, [&](const auto& each) { return !view.find(each.first); });
-        if (book.taking_over)
+        auto& record = position->second;
+        record.service = configured.service;
+        record.draining = configured.draining;
+        record.window.configure(configured.slots, headroom);
+        std::erase_if(record.held, [&](const auto& entry) { return !view.find(entry.first); });
+        if (record.taking_over)
         {
-            book.taking_over->views.push_back(view.hash());
+            record.taking_over->views.push_back(view.hash());
         }
     }
 }
 
 void slot_ledger::set_held(const base::node_ref& router, const std::vector<holding>& holdings)
 {
-    for (auto& [id, book] : books_)
+    for (auto& [id, record] : records_)
     {
-        book.held.erase(router);
+        record.held.erase(router);
     }
-    for (const auto& each : holdings)
+    for (const auto& reported : holdings)
     {
-        const auto book = books_.find(each.upstream);
-        if (book != books_.end() && each.held > 0)
+        const auto record = records_.find(reported.upstream);
+        if (record != records_.end() && reported.held > 0)
         {
-            book->second.held[router] = each.held;
+            record->second.held[router] = reported.held;
         }
     }
 }
 
 void slot_ledger::add_grant(const base::upstream_id& upstream)
 {
-    ++books_.at(upstream).granted;
+    ++records_.at(upstream).granted;
 }
 
 void slot_ledger::remove_grant(const base::upstream_id& upstream)
 {
-    const auto book = books_.find(upstream);
-    if (book != books_.end() && book->second.granted > 0)
+    const auto record = records_.find(upstream);
+    if (record != records_.end() && record->second.granted > 0)
     {
-        --book->second.granted;
+        --record->second.granted;
     }
 }
 
 void slot_ledger::observe_load(const base::upstream_id& upstream, base::slots running,
-                               base::slots waiting, base::time_point taken, base::time_point now)
+                               base::slots waiting, base::time_point taken_at, base::time_point now)
 {
-    const auto book = books_.find(upstream);
-    if (book != books_.end())
+    const auto record = records_.find(upstream);
+    if (record != records_.end())
     {
-        book->second.window.observe(running, waiting, taken, now);
+        record->second.window.observe(running, waiting, taken_at, now);
     }
 }
 
 void slot_ledger::finish_takeovers(
-    const std::function<bool(const base::node_ref&, const std::vector<std::uint64_t>&)>& reported,
+    const std::function<bool(const base::node_ref&, const std::vector<std::uint64_t>&)>&
+        has_reported,
     base::time_point now)
 {
-    for (auto& [id, book] : books_)
+    for (auto& [id, record] : records_)
     {
-        if (!book.taking_over)
+        if (!record.taking_over)
         {
             continue;
         }
         const auto routers = context_.view.reporting_routers();
-        const auto& views = book.taking_over->views;
+        const auto& views = record.taking_over->views;
         const bool complete =
             std::all_of(routers.begin(), routers.end(),
-                        [&](const auto& router) { return reported(router, views); });
-        if (complete || now >= book.taking_over->until)
+                        [&](const auto& router) { return has_reported(router, views); });
+        if (complete || now >= record.taking_over->deadline)
         {
-            book.taking_over.reset();
+            record.taking_over.reset();
         }
     }
 }
 
 bool slot_ledger::owns(const base::upstream_id& upstream) const
 {
-    return books_.contains(upstream);
+    return records_.contains(upstream);
 }
 
 base::slots slot_ledger::free(const base::upstream_id& upstream) const
 {
-    const auto found = books_.find(upstream);
-    if (found == books_.end() || found->second.draining || found->second.taking_over)
+    const auto found = records_.find(upstream);
+    if (found == records_.end() || found->second.draining || found->second.taking_over)
     {
         return 0;
     }
-    const auto used = found->second.held_in_all() + found->second.granted;
+    const auto used = found->second.total_held() + found->second.granted;
     const auto window = window_of(upstream, found->second);
     return window > used ? window - used : 0;
 }
 
-std::vector<base::upstream_id> slot_ledger::free_of(const base::service_id& service) const
+std::vector<base::upstream_id> slot_ledger::free_upstreams(const base::service_id& service) const
 {
     std::vector<base::upstream_id> upstreams;
-    for (const auto& [id, book] : books_)
+    for (const auto& [id, record] : records_)
     {
-        if (book.service == service && free(id) > 0)
+        if (record.service == service && free(id) > 0)
         {
             upstreams.push_back(id);
         }
@@ -155,11 +156,11 @@
 std::vector<base::service_id> slot_ledger::services() const
 {
     std::vector<base::service_id> services;
-    for (const auto& [id, book] : books_)
+    for (const auto& [id, record] : records_)
     {
-        if (std::find(services.begin(), services.end(), book.service) == services.end())
+        if (std::find(services.begin(), services.end(), record.service) == services.end())
         {
-            services.push_back(book.service);
+            services.push_back(record.service);
         }
     }
     return services;
@@ -168,11 +169,11 @@
 std::optional<base::time_point> slot_ledger::next_wakeup() const
 {
     std::optional<base::time_point> next;
-    for (const auto& [id, book] : books_)
+    for (const auto& [id, record] : records_)
     {
-        if (book.taking_over && (!next || book.taking_over->until < *next))
+        if (record.taking_over && (!next || record.taking_over->deadline < *next))
         {
-            next = book.taking_over->until;
+            next = record.taking_over->deadline;
         }
     }
     return next;
@@ -181,20 +182,20 @@
 std::vector<owned_state> slot_ledger::states() const
 {
     std::vector<owned_state> states;
-    for (const auto& [id, book] : books_)
+    for (const auto& [id, record] : records_)
     {
         states.push_back({.upstream = id,
-                          .window = window_of(id, book),
-                          .held = book.held_in_all(),
-                          .granted = book.granted,
-                          .taking_over = book.taking_over.has_value()});
+                          .window = window_of(id, record),
+                          .held = record.total_held(),
+                          .granted = record.granted,
+                          .taking_over = record.taking_over.has_value()});
     }
     return states;
 }
 
-base::slots slot_ledger::window_of(const base::upstream_id& id, const slot_book& book) const
+base::slots slot_ledger::window_of(const base::upstream_id& id, const slot_record& record) const
 {
-    return context_.view.own_part(id, book.window.size());
+    return context_.view.own_part(id, record.window.size());
 }
 
 }  // namespace caraway::scheduling
--- a/src/libcaraway/scheduling/slot_ledger.hpp
+++ b/src/libcaraway/scheduling/slot_ledger.hpp
@@ -14,33 +14,36 @@
 namespace caraway::scheduling
 {
 
-/// The slots of the upstreams that this node owns. A slot is taken by what a router reports to run
-/// there or by a grant that isn't acknowledged; one report turns the latter into the former.
+/// The slots of the upstreams that this node owns. A slot is in use if a router reports a request
+/// running in it, or if a grant for it is not acknowledged; the report that acknowledges the grant
+/// also counts the request as running.
 class slot_ledger
 {
 public:
     explicit slot_ledger(node_context& context);
 
-    /// Takes over what the view says is owned here, and lets go of the rest.
+    /// Adds the upstreams that this node owns in the current view, and drops all others.
     void view_changed(base::time_point now);
 
-    /// Replaces what a router has running.
+    /// Replaces the numbers of requests that `router` runs at the upstreams.
     void set_held(const base::node_ref& router, const std::vector<holding>& holdings);
     void add_grant(const base::upstream_id& upstream);
     void remove_grant(const base::upstream_id& upstream);
     void observe_load(const base::upstream_id& upstream, base::slots running, base::slots waiting,
-                      base::time_point taken, base::time_point now);
+                      base::time_point taken_at, base::time_point now);
 
-    /// Ends takeovers: `reported` says whether a router has reported under one of these views.
-    void finish_takeovers(const std::function<bool(const base::node_ref&,
-                                                   const std::vector<std::uint64_t>&)>& reported,
-                          base::time_point now);
+    /// Ends the takeovers that are complete or have timed out. `has_reported` returns whether a
+    /// router has reported under one of the given views.
+    void finish_takeovers(
+        const std::function<bool(const base::node_ref&, const std::vector<std::uint64_t>&)>&
+            has_reported,
+        base::time_point now);
 
     bool owns(const base::upstream_id& upstream) const;
-    /// Slots that may be granted now.
+    /// Number of slots that may be granted now.
     base::slots free(const base::upstream_id& upstream) const;
     /// Owned upstreams of a service that have free slots.
-    std::vector<base::upstream_id> free_of(const base::service_id& service) const;
+    std::vector<base::upstream_id> free_upstreams(const base::service_id& service) const;
     std::vector<base::service_id> services() const;
     std::optional<base::time_point> next_wakeup() const;
     std::vector<owned_state> states() const;
@@ -48,11 +51,11 @@
 private:
     struct takeover
     {
-        base::time_point until;
-        /// This node's views since it began.
+        base::time_point deadline;
+        /// Hashes of this node's views since the takeover started.
         std::vector<std::uint64_t> views;
     };
-    struct slot_book
+    struct slot_record
     {
         base::service_id service;
         upstream_window window;
@@ -61,13 +64,13 @@
         base::slots granted = 0;
         std::optional<takeover> taking_over;
 
-        base::slots held_in_all() const;
+        base::slots total_held() const;
     };
 
-    base::slots window_of(const base::upstream_id& id, const slot_book& book) const;
+    base::slots window_of(const base::upstream_id& id, const slot_record& record) const;
 
     node_context& context_;
-    std::map<base::upstream_id, slot_book> books_;
+    std::map<base::upstream_id, slot_record> records_;
 };
 
 }  // namespace caraway::scheduling
--- a/src/libcaraway/scheduling/snapshot.hpp
+++ b/src/libcaraway/scheduling/snapshot.hpp
@@ -20,9 +20,9 @@
     std::uint32_t waiting = 0;
     std::chrono::milliseconds head_age{0};
     base::request_number head{};
-    /// Owners that were asked for a slot.
+    /// Owners from which a slot was requested.
     std::vector<base::node_id> asked;
-    /// Requests started a second, measured while requests waited.
+    /// Requests started per second, measured while requests waited.
     double rate = 0;
 };
 
@@ -39,13 +39,13 @@
     std::chrono::milliseconds age{0};
 };
 
-/// One upstream as this router sees it.
+/// State of one upstream as this router sees it.
 struct upstream_state
 {
     base::upstream_id upstream;
     base::service_id service;
     base::node_id owner;
-    /// Requests of this router that run there.
+    /// Number of requests of this router that run at the upstream.
     base::slots held = 0;
     bool draining = false;
     bool ejected = false;
@@ -58,11 +58,11 @@
     base::slots window = 0;
     base::slots held = 0;
     base::slots granted = 0;
-    /// Still waiting for the routers' reports after taking over.
+    /// True while the owner waits for the routers' reports after taking over the upstream.
     bool taking_over = false;
 };
 
-/// One account as this router compares it with others.
+/// State of one account as this router compares it with others.
 struct account_state
 {
     account key;
@@ -70,18 +70,18 @@
     base::cost lift;
     /// This node's own total.
     base::cost total;
-    /// The whole fleet's, as far as known, without the lift.
+    /// The whole fleet's total as far as known, without the lift.
     base::cost sum;
-    /// Granted by this owner but not in the sum yet.
+    /// Cost granted by this owner that the sum does not contain yet.
     base::cost pending;
     base::virtual_time virtual_now;
-    /// Whether an aggregator's sum has been received.
+    /// Whether a recent sum of an aggregator has been received.
     bool known = false;
-    /// Waiting requests that routers told this owner of.
+    /// Number of waiting requests that routers have reported to this owner.
     std::uint32_t demanded = 0;
 };
 
-/// A grant that its router hasn't acknowledged.
+/// A grant that its router has not acknowledged.
 struct grant_state
 {
     base::node_id router;
@@ -89,7 +89,7 @@
     std::chrono::milliseconds age{0};
 };
 
-/// Counts since the start; they only rise.
+/// Event counts since the process started; monotonic.
 struct scheduler_counters
 {
     std::uint64_t submitted = 0;
@@ -106,7 +106,7 @@
     std::uint64_t messages_dropped = 0;
 };
 
-/// The scheduler's whole state, for dumps and explanations.
+/// The complete state of the scheduler, for dumps and explanations.
 struct scheduler_snapshot
 {
     bool draining = false;
--- a/src/libcaraway/scheduling/total_aggregator.cpp
+++ b/src/libcaraway/scheduling/total_aggregator.cpp
@@ -11,8 +11,8 @@
 namespace
 {
 
-/// An account counts as idle after so many intervals in which nobody wanted its sum, and a node as
-/// asking no more.
+/// An account is idle after this many intervals in which no node requested its sum; a node that has
+/// not asked for as long is no longer counted as a requester.
 constexpr int idle_intervals = 3;
 
 base::cost sum_of(const std::map<base::node_ref, base::cost>& totals)
@@ -32,168 +32,173 @@
 {
 }
 
-std::optional<totals_reply> total_aggregator::receive(const base::node_ref& from,
+std::optional<totals_reply> total_aggregator::receive(const base::node_ref& sender,
                                                       const totals_report& report,
                                                       base::time_point now)
 {
-    auto& last = sequences_[from];
-    if (report.sequence <= last)
+    auto& last_sequence = sequences_[sender];
+    if (report.sequence <= last_sequence)
     {
         return std::nullopt;
     }
-    last = report.sequence;
+    last_sequence = report.sequence;
     floors_.merge(report.floors);
-    std::set<account> answered(report.wanted.begin(), report.wanted.end());
+    std::set<account> to_answer(report.wanted.begin(), report.wanted.end());
     for (const auto& total : report.totals)
     {
         const account key{.service = total.service, .workspace = total.workspace};
-        if (!merge(accounts_[key], from, total))
+        if (!merge(accounts_[key], sender, total))
         {
-            answered.insert(key);
+            to_answer.insert(key);
         }
     }
     for (const auto& key : report.wanted)
     {
-        auto& each = accounts_[key];
-        note_wanted(each, now);
-        lift_if_behind(key, each, now);
+        auto& state = accounts_[key];
+        record_wanted(state, now);
+        lift_if_behind(key, state, now);
     }
-    if (answered.empty())
+    if (to_answer.empty())
     {
         return std::nullopt;
     }
-    note_asked(from, now);
+    record_requester(sender, now);
     using std::chrono::milliseconds;
     const auto wait = std::chrono::duration_cast<milliseconds>(interval()).count();
     totals_reply reply{.sums = {}, .floors = {}, .interval_ms = static_cast<std::uint32_t>(wait)};
-    for (const auto& key : answered)
+    for (const auto& key : to_answer)
     {
-        reply.sums.push_back(sum_for(from, key, accounts_[key]));
+        reply.sums.push_back(sum_for(sender, key, accounts_[key]));
     }
     return reply;
 }
 
 void total_aggregator::view_changed(base::time_point now)
 {
-    warm(now);
+    is_warmed_up(now);
     const auto alive = [this](const base::node_ref& node)
     {
         return context_.view.find(node);
     };
-    for (auto& [key, each] : accounts_)
+    for (auto& [key, state] : accounts_)
     {
-        const bool died = std::any_of(each.totals.begin(), each.totals.end(),
-                                      [&](const auto& total) { return !alive(total.first); });
-        if (died)
+        const bool has_dead_member =
+            std::any_of(state.totals.begin(), state.totals.end(),
+                        [&](const auto& total) { return !alive(total.first); });
+        if (has_dead_member)
         {
-            start_epoch(each, each.lift + sum_of(each.totals));
+            start_epoch(state, state.lift + sum_of(state.totals));
         }
     }
-    std::erase_if(sequences_, [&](const auto& each) { return !alive(each.first); });
-    std::erase_if(askers_, [&](const auto& each) { return !alive(each.first); });
+    std::erase_if(sequences_, [&](const auto& entry) { return !alive(entry.first); });
+    std::erase_if(requesters_, [&](const auto& entry) { return !alive(entry.first); });
 }
 
-/// False if the sender is behind and must be told.
-bool total_aggregator::merge(aggregate& each, const base::node_ref& from,
+/// Returns false if the sender's epoch or lift is older and the sender must be told the newer one.
+bool total_aggregator::merge(aggregate& state, const base::node_ref& sender,
                              const service_total& total)
 {
-    if (total.epoch < each.epoch)
+    if (total.epoch < state.epoch)
     {
         return false;
     }
-    if (total.epoch > each.epoch)
+    if (total.epoch > state.epoch)
     {
-        each.epoch = total.epoch;
-        each.lift = total.lift;
-        each.totals.clear();
+        state.epoch = total.epoch;
+        state.lift = total.lift;
+        state.totals.clear();
     }
-    each.totals[from] = total.total;
-    const bool behind = total.lift < each.lift;
-    each.lift = std::max(each.lift, total.lift);
-    return !behind;
+    state.totals[sender] = total.total;
+    const bool sender_behind = total.lift < state.lift;
+    state.lift = std::max(state.lift, total.lift);
+    return !sender_behind;
 }
 
-void total_aggregator::note_wanted(aggregate& each, base::time_point now)
+void total_aggregator::record_wanted(aggregate& state, base::time_point now)
 {
-    const base::duration shortest = context_.options.idle_timeout;
-    const auto idle = std::max(shortest, idle_intervals * interval());
-    if (!each.wanted_at || now - *each.wanted_at > idle)
+    const base::duration min_idle = context_.options.idle_timeout;
+    const auto idle = std::max(min_idle, idle_intervals * interval());
+    if (!state.wanted_at || now - *state.wanted_at > idle)
     {
-        each.opened_at = now;
+        state.resumed_at = now;
     }
-    else if (each.opened_at && now - *each.opened_at > idle)
+    else if (state.resumed_at && now - *state.resumed_at > idle)
     {
-        each.opened_at.reset();
+        state.resumed_at.reset();
     }
-    each.wanted_at = now;
+    state.wanted_at = now;
 }
 
-void total_aggregator::lift_if_behind(const account& key, aggregate& each, base::time_point now)
+void total_aggregator::lift_if_behind(const account& key, aggregate& state, base::time_point now)
 {
-    // The stand-in is told seldom; by its old totals an account seems behind that isn't, and
-    // lifting it to the floor would take away what it has had since.
-    const bool stand_in = context_.view.aggregators(key).front() != context_.view.self();
-    if (stand_in || !warm(now))
+    // The standby aggregator gets totals rarely: by its old totals an account may seem to lag that
+    // does not, and lifting the account to the floor would write off the service it has received
+    // since.
+    const bool is_standby = context_.view.aggregators(key).front() != context_.view.self();
+    if (is_standby || !is_warmed_up(now))
     {
         return;
     }
     const auto weight = context_.directory.weight(key.workspace);
-    const auto unit = context_.directory.default_cost(key.service).value();
-    const base::virtual_time reached(each.lift + sum_of(each.totals), weight);
+    const auto default_cost = context_.directory.default_cost(key.service).value();
+    const base::virtual_time reached(state.lift + sum_of(state.totals), weight);
     const double floor = floors_.at(key.service).value();
-    const double behind = floor - reached.value();
-    const double longest =
+    const double lag = floor - reached.value();
+    const double max_lag =
         context_.options.max_backlogged_lag * context_.directory.slots_of(key.service);
-    const double allowed = unit * (each.opened_at ? context_.options.lift_tolerance : longest);
-    if (behind <= allowed)
+    const double allowed_lag =
+        default_cost * (state.resumed_at ? context_.options.lift_tolerance : max_lag);
+    if (lag <= allowed_lag)
     {
         return;
     }
-    const double target = each.opened_at ? floor : floor - allowed;
-    each.opened_at.reset();
-    start_epoch(each, base::cost(target * weight.value()));
+    const double target = state.resumed_at ? floor : floor - allowed_lag;
+    state.resumed_at.reset();
+    start_epoch(state, base::cost(target * weight.value()));
 }
 
-void total_aggregator::start_epoch(aggregate& each, base::cost lift)
+void total_aggregator::start_epoch(aggregate& state, base::cost lift)
 {
-    ++each.epoch;
-    each.lift = lift;
-    each.totals.clear();
+    ++state.epoch;
+    state.lift = lift;
+    state.totals.clear();
     ++context_.counters.epochs_started;
 }
 
 service_sum total_aggregator::sum_for(const base::node_ref& to, const account& key,
-                                      const aggregate& each) const
+                                      const aggregate& state) const
 {
-    const auto own = each.totals.find(to);
+    const auto own = state.totals.find(to);
     return {.service = key.service,
             .workspace = key.workspace,
-            .epoch = each.epoch,
-            .lift = each.lift,
-            .sum = sum_of(each.totals),
-            .included = own == each.totals.end() ? base::cost{} : own->second};
+            .epoch = state.epoch,
+            .lift = state.lift,
+            .sum = sum_of(state.totals),
+            .included = own == state.totals.end() ? base::cost{} : own->second};
 }
 
-void total_aggregator::note_asked(const base::node_ref& by, base::time_point now)
+void total_aggregator::record_requester(const base::node_ref& requester, base::time_point now)
 {
-    askers_[by] = now;
-    const auto longest = idle_intervals * interval();
-    std::erase_if(askers_, [&](const auto& each) { return now - each.second > longest; });
+    requesters_[requester] = now;
+    const auto max_age = idle_intervals * interval();
+    std::erase_if(requesters_, [&](const auto& entry) { return now - entry.second > max_age; });
 }
 
-/// As long as it takes to answer all that ask once.
+/// The time it takes to answer every requester once at the configured rate, and at least the
+/// configured period.
 base::duration total_aggregator::interval() const
 {
-    const base::duration shortest = context_.options.totals_period;
+    const base::duration min_interval = context_.options.totals_period;
     const auto rate = std::max(context_.options.totals_replies_per_second, 1U);
-    const auto others = askers_.size() - askers_.count(context_.view.self());
+    const auto others = requesters_.size() - requesters_.count(context_.view.self());
     const base::duration second = std::chrono::seconds(1);
     const base::duration needed = second * others / rate;
-    return std::max(shortest, needed);
+    return std::max(min_interval, needed);
 }
 
-/// What a node knows that has only just started is too little to lift anyone by it.
-bool total_aggregator::warm(base::time_point now)
+/// False for a while after this node started: until then it knows too little of the fleet to lift
+/// an account.
+bool total_aggregator::is_warmed_up(base::time_point now)
 {
     if (!started_)
     {
--- a/src/libcaraway/scheduling/total_aggregator.hpp
+++ b/src/libcaraway/scheduling/total_aggregator.hpp
@@ -12,18 +12,19 @@
 namespace caraway::scheduling
 {
 
-/// Adds up the nodes' totals of the accounts for which this node was chosen, and lifts those that
-/// come back from idling or fell too far behind.
+/// Adds up the nodes' totals of the accounts for which this node was chosen, and lifts accounts
+/// that resume after idling or lag too far.
 class total_aggregator
 {
 public:
     total_aggregator(node_context& context, floor_board& floors);
 
-    /// Takes in a report. Returns the sums that its sender wants or must know (a newer epoch);
-    /// nothing if there are none or the report is old.
-    std::optional<totals_reply> receive(const base::node_ref& from, const totals_report& report,
+    /// Merges a report. Returns the sums that its sender requested or has an older epoch or lift
+    /// of; nothing if there are none or the report is not newer than the last one.
+    std::optional<totals_reply> receive(const base::node_ref& sender, const totals_report& report,
                                         base::time_point now);
-    /// Members changed: what the dead have rendered is folded into new epochs.
+    /// Call after members have changed. Service rendered by dead members is folded into the lift of
+    /// new epochs.
     void view_changed(base::time_point now);
 
 private:
@@ -33,25 +34,25 @@
         base::cost lift;
         std::map<base::node_ref, base::cost> totals;
         std::optional<base::time_point> wanted_at;
-        /// Set while the account has only just come back from idling.
-        std::optional<base::time_point> opened_at;
+        /// Set while the account has only recently resumed after idling.
+        std::optional<base::time_point> resumed_at;
     };
 
-    bool merge(aggregate& each, const base::node_ref& from, const service_total& total);
-    void note_wanted(aggregate& each, base::time_point now);
-    void lift_if_behind(const account& key, aggregate& each, base::time_point now);
-    void start_epoch(aggregate& each, base::cost lift);
-    service_sum sum_for(const base::node_ref& to, const account& key, const aggregate& each) const;
-    bool warm(base::time_point now);
+    bool merge(aggregate& state, const base::node_ref& sender, const service_total& total);
+    void record_wanted(aggregate& state, base::time_point now);
+    void lift_if_behind(const account& key, aggregate& state, base::time_point now);
+    void start_epoch(aggregate& state, base::cost lift);
+    service_sum sum_for(const base::node_ref& to, const account& key, const aggregate& state) const;
+    bool is_warmed_up(base::time_point now);
     base::duration interval() const;
-    void note_asked(const base::node_ref& by, base::time_point now);
+    void record_requester(const base::node_ref& requester, base::time_point now);
 
     node_context& context_;
     floor_board& floors_;
     std::map<account, aggregate> accounts_;
     std::map<base::node_ref, std::uint64_t> sequences_;
-    /// When each node asked last, to tell how many do.
-    std::map<base::node_ref, base::time_point> askers_;
+    /// Time at which each node last asked, to count the requesters.
+    std::map<base::node_ref, base::time_point> requesters_;
     std::optional<base::time_point> started_;
 };
 
--- a/src/libcaraway/scheduling/totals_role.cpp
+++ b/src/libcaraway/scheduling/totals_role.cpp
@@ -10,12 +10,12 @@
 namespace
 {
 
-/// A sum older than so many intervals says nothing any more.
-constexpr int intervals_believed = 4;
-/// After so many intervals without a reply the second aggregator is asked too.
-constexpr int intervals_until_second = 2;
-/// The second aggregator is kept informed this much less often.
-constexpr int stand_in_factor = 4;
+/// A sum older than this many intervals is treated as unknown.
+constexpr int max_sum_age_intervals = 4;
+/// After this many intervals without a reply, the standby aggregator is asked, too.
+constexpr int standby_query_intervals = 2;
+/// Factor by which reports to the standby aggregator are less frequent.
+constexpr int standby_interval_factor = 4;
 
 }  // namespace
 
@@ -32,26 +32,26 @@
         return context_.view.find(node) != nullptr;
     };
     links_.retain(alive);
-    std::erase_if(reply_sequences_, [&](const auto& each) { return !alive(each.first); });
+    std::erase_if(reply_sequences_, [&](const auto& entry) { return !alive(entry.first); });
 }
 
-void totals_role::receive(const base::node_ref& from, const totals_report& report,
+void totals_role::receive(const base::node_ref& sender, const totals_report& report,
                           base::time_point now)
 {
-    auto answer = aggregator_.receive(from, report, now);
-    if (!answer)
+    auto reply = aggregator_.receive(sender, report, now);
+    if (!reply)
     {
         return;
     }
-    answer->sequence = ++reply_sequences_[from];
-    answer->floors = floors_.all();
-    context_.out.send(from, std::move(*answer));
+    reply->sequence = ++reply_sequences_[sender];
+    reply->floors = floors_.all();
+    context_.out.send(sender, std::move(*reply));
 }
 
-void totals_role::receive(const base::node_ref& from, const totals_reply& reply,
+void totals_role::receive(const base::node_ref& sender, const totals_reply& reply,
                           base::time_point now)
 {
-    if (!links_.received(from, reply.sequence, reply.interval_ms))
+    if (!links_.record_received(sender, reply.sequence, reply.interval_ms))
     {
         return;
     }
@@ -72,11 +72,11 @@
     return pending_;
 }
 
-base::virtual_time totals_role::virtual_now(const account& key, bool with_pending,
+base::virtual_time totals_role::virtual_now(const account& key, bool include_pending,
                                             base::time_point now) const
 {
     const auto weight = context_.directory.weight(key.workspace);
-    const auto pending = with_pending ? pending_.of(key) : base::cost{};
+    const auto pending = include_pending ? pending_.total(key) : base::cost{};
     if (!known(key, now))
     {
         const auto anchor = anchors_.find(key);
@@ -88,11 +88,12 @@
 
 bool totals_role::known(const account& key, base::time_point now) const
 {
-    const auto* each = totals_.find(key);
-    return each && each->heard_at && now - *each->heard_at <= intervals_believed * interval(key);
+    const auto* totals = totals_.find(key);
+    return totals && totals->updated_at &&
+           now - *totals->updated_at <= max_sum_age_intervals * interval(key);
 }
 
-void totals_role::note_granted(const account& key, base::time_point now)
+void totals_role::record_granted(const account& key, base::time_point now)
 {
     if (known(key, now))
     {
@@ -106,13 +107,13 @@
     anchor_unknown(demanded, now);
     refresh(now);
     next_send_ = next_refresh_;
-    for (const auto& [aggregator, each] : collect(demanded, now))
+    for (const auto& [aggregator, outgoing] : collect(demanded, now))
     {
-        auto next = due(aggregator, each);
+        auto next = due(aggregator, outgoing);
         if (next <= now)
         {
-            send(aggregator, each, now);
-            next = due(aggregator, each);
+            send(aggregator, outgoing, now);
+            next = due(aggregator, outgoing);
         }
         next_send_ = next_send_ ? std::min(*next_send_, next) : next;
     }
@@ -123,28 +124,28 @@
     return next_send_;
 }
 
-void totals_role::fill(scheduler_snapshot& out, const std::vector<account>& demanded,
+void totals_role::fill(scheduler_snapshot& snapshot, const std::vector<account>& demanded,
                        base::time_point now) const
 {
-    out.floors = floors_.all();
+    snapshot.floors = floors_.all();
     std::set<account> keys(demanded.begin(), demanded.end());
-    for (const auto& [key, each] : totals_.all())
+    for (const auto& [key, entry] : totals_.all())
     {
         keys.insert(key);
     }
     for (const auto& key : keys)
     {
-        const auto* each = totals_.find(key);
-        const auto totals = each ? *each : account_totals{};
-        out.accounts.push_back({.key = key,
-                                .epoch = totals.epoch,
-                                .lift = totals.lift,
-                                .total = totals.own,
-                                .sum = totals.own + totals.others,
-                                .pending = pending_.of(key),
-                                .virtual_now = virtual_now(key, true, now),
-                                .known = known(key, now),
-                                .demanded = 0});
+        const auto* found = totals_.find(key);
+        const auto totals = found ? *found : account_totals{};
+        snapshot.accounts.push_back({.key = key,
+                                     .epoch = totals.epoch,
+                                     .lift = totals.lift,
+                                     .total = totals.own,
+                                     .sum = totals.own + totals.others,
+                                     .pending = pending_.total(key),
+                                     .virtual_now = virtual_now(key, true, now),
+                                     .known = known(key, now),
+                                     .demanded = 0});
     }
 }
 
@@ -155,9 +156,9 @@
 
 base::duration totals_role::charge_lag(const account& key) const
 {
-    const base::duration shortest = context_.options.charge_lag;
+    const base::duration min_lag = context_.options.charge_lag;
     const auto factor = context_.options.charge_lag_intervals;
-    return std::max(shortest, std::chrono::duration_cast<base::duration>(interval(key) * factor));
+    return std::max(min_lag, std::chrono::duration_cast<base::duration>(interval(key) * factor));
 }
 
 void totals_role::anchor_unknown(const std::vector<account>& demanded, base::time_point now)
@@ -169,15 +170,16 @@
         {
             continue;
         }
-        const auto before = anchors_.find(key);
-        anchors.emplace(key, before == anchors_.end() ? floors_.at(key.service) : before->second);
+        const auto previous = anchors_.find(key);
+        anchors.emplace(key,
+                        previous == anchors_.end() ? floors_.at(key.service) : previous->second);
     }
     anchors_ = std::move(anchors);
 }
 
 void totals_role::refresh(base::time_point now)
 {
-    if (!totals_.wants_refresh())
+    if (!totals_.needs_refresh())
     {
         next_refresh_.reset();
         return;
@@ -193,55 +195,58 @@
     }
 }
 
-totals_role::errands totals_role::collect(const std::vector<account>& demanded,
-                                          base::time_point now) const
+totals_role::outgoing_reports totals_role::collect(const std::vector<account>& demanded,
+                                                   base::time_point now) const
 {
-    errands out;
-    for (const auto& [key, each] : totals_.all())
+    outgoing_reports reports;
+    for (const auto& [key, entry] : totals_.all())
     {
         const auto& aggregators = context_.view.aggregators(key);
         for (const auto& node : aggregators)
         {
             if (totals_.changed_for(key, node))
             {
-                out[node].changed.push_back(key);
-                out[node].stand_in = out[node].stand_in && node != aggregators.front();
+                reports[node].changed.push_back(key);
+                reports[node].standby = reports[node].standby && node != aggregators.front();
             }
         }
     }
     for (const auto& key : demanded)
     {
         const auto& aggregators = context_.view.aggregators(key);
-        const auto* each = totals_.find(key);
-        const bool answered = each && each->heard_at &&
-                              now - *each->heard_at <= intervals_until_second * interval(key);
-        const std::size_t asked = answered ? 1 : aggregators.size();
-        for (std::size_t i = 0; i < asked; ++i)
+        const auto* totals = totals_.find(key);
+        const bool answered_recently =
+            totals && totals->updated_at &&
+            now - *totals->updated_at <= standby_query_intervals * interval(key);
+        const std::size_t aggregator_count = answered_recently ? 1 : aggregators.size();
+        for (std::size_t i = 0; i < aggregator_count; ++i)
         {
-            auto& to = out[aggregators[i]];
-            to.wanted.push_back(key);
-            to.urgent = to.urgent || !known(key, now);
-            to.stand_in = false;
+            auto& outgoing = reports[aggregators[i]];
+            outgoing.wanted.push_back(key);
+            outgoing.urgent = outgoing.urgent || !known(key, now);
+            outgoing.standby = false;
         }
     }
-    return out;
+    return reports;
 }
 
-base::time_point totals_role::due(const base::node_ref& aggregator, const errand& each) const
+base::time_point totals_role::due(const base::node_ref& aggregator,
+                                  const outgoing_report& outgoing) const
 {
-    const auto due = links_.due(aggregator, each.urgent);
-    const bool first = due == base::time_point::min();
-    const auto longer = (stand_in_factor - 1) * links_.interval(aggregator);
-    return each.stand_in && !first ? due + longer : due;
+    const auto due = links_.due(aggregator, outgoing.urgent);
+    const bool never_sent = due == base::time_point::min();
+    const auto extra_interval = (standby_interval_factor - 1) * links_.interval(aggregator);
+    return outgoing.standby && !never_sent ? due + extra_interval : due;
 }
 
-void totals_role::send(const base::node_ref& aggregator, const errand& each, base::time_point now)
+void totals_role::send(const base::node_ref& aggregator, const outgoing_report& outgoing,
+                       base::time_point now)
 {
-    totals_report report{.sequence = links_.sent(aggregator, now),
+    totals_report report{.sequence = links_.record_sent(aggregator, now),
                          .totals = {},
-                         .wanted = each.wanted,
+                         .wanted = outgoing.wanted,
                          .floors = floors_.all()};
-    for (const auto& key : each.changed)
+    for (const auto& key : outgoing.changed)
     {
         report.totals.push_back(totals_.report(key, aggregator));
     }
--- a/src/libcaraway/scheduling/totals_role.hpp
+++ b/src/libcaraway/scheduling/totals_role.hpp
@@ -15,53 +15,56 @@
 {
 
 /// This node's part in counting service: keeps its own totals, exchanges them with the aggregators
-/// (of which it may be one) and says how far each account's virtual time has come.
+/// (this node may be one of them), and computes the virtual time of each account.
 class totals_role
 {
 public:
     explicit totals_role(node_context& context);
 
     void view_changed(base::time_point now);
-    void receive(const base::node_ref& from, const totals_report& report, base::time_point now);
-    void receive(const base::node_ref& from, const totals_reply& reply, base::time_point now);
+    void receive(const base::node_ref& sender, const totals_report& report, base::time_point now);
+    void receive(const base::node_ref& sender, const totals_reply& reply, base::time_point now);
 
-    /// Service rendered through this node; negative to give back.
+    /// Adds service rendered through this node; a negative `delta` refunds.
     void charge(const account& key, base::cost delta);
     pending_charges& pending();
-    /// Sum of all nodes' service over the share; the floor where nothing is known. `with_pending`
-    /// adds what this owner has granted and the sums don't hold yet.
-    base::virtual_time virtual_now(const account& key, bool with_pending,
+    /// Virtual time of an account: the sum of all nodes' service divided by the share, or the
+    /// service floor if no recent sum is known. `include_pending` adds what this owner has granted
+    /// and the sums do not contain yet.
+    base::virtual_time virtual_now(const account& key, bool include_pending,
                                    base::time_point now) const;
     bool known(const account& key, base::time_point now) const;
-    void note_granted(const account& key, base::time_point now);
+    void record_granted(const account& key, base::time_point now);
 
-    /// Sends what is due. `demanded` are the accounts that wait for a slot of this owner.
+    /// Sends the messages that are due. `demanded` holds the accounts that wait for a slot of this
+    /// owner.
     void run(const std::vector<account>& demanded, base::time_point now);
     std::optional<base::time_point> next_wakeup() const;
 
-    /// Fills in floors, and the accounts that are known or demanded.
-    void fill(scheduler_snapshot& out, const std::vector<account>& demanded,
+    /// Adds the floors and all known or demanded accounts to `snapshot`.
+    void fill(scheduler_snapshot& snapshot, const std::vector<account>& demanded,
               base::time_point now) const;
 
 private:
-    /// What an aggregator is to be told and asked.
-    struct errand
+    /// Content of the next report to one aggregator.
+    struct outgoing_report
     {
         std::vector<account> changed;
         std::vector<account> wanted;
         bool urgent = false;
-        /// Only kept informed in case it must stand in; that can wait.
-        bool stand_in = true;
+        /// True if the report only keeps the standby aggregator up to date; such a report can wait.
+        bool standby = true;
     };
-    using errands = std::map<base::node_ref, errand>;
+    using outgoing_reports = std::map<base::node_ref, outgoing_report>;
 
     base::duration interval(const account& key) const;
     base::duration charge_lag(const account& key) const;
     void anchor_unknown(const std::vector<account>& demanded, base::time_point now);
     void refresh(base::time_point now);
-    errands collect(const std::vector<account>& demanded, base::time_point now) const;
-    base::time_point due(const base::node_ref& aggregator, const errand& each) const;
-    void send(const base::node_ref& aggregator, const errand& each, base::time_point now);
+    outgoing_reports collect(const std::vector<account>& demanded, base::time_point now) const;
+    base::time_point due(const base::node_ref& aggregator, const outgoing_report& outgoing) const;
+    void send(const base::node_ref& aggregator, const outgoing_report& outgoing,
+              base::time_point now);
 
     node_context& context_;
     floor_board floors_;
@@ -69,9 +72,9 @@
     total_aggregator aggregator_;
     aggregator_links links_;
     pending_charges pending_;
-    /// Where the virtual time of accounts without a known sum started. Taking the floor itself
-    /// would let a single known account win every slot: each grant to it raises the floor, and with
-    /// it all that it is compared with.
+    /// Virtual time at which accounts without a known sum started. With the floor itself instead, a
+    /// single known account would win every slot: each grant to the known account raises the floor,
+    /// and with the floor the virtual time of all accounts it is compared with.
     std::map<account, base::virtual_time> anchors_;
     std::optional<base::time_point> next_send_;
     std::optional<base::time_point> next_refresh_;
--- a/src/libcaraway/scheduling/upstream_health.cpp
+++ b/src/libcaraway/scheduling/upstream_health.cpp
@@ -8,8 +8,8 @@
 namespace
 {
 
-/// Doublings after which the back-off stays what it is; keeps the shift in range.
-constexpr std::uint32_t largest_exponent = 16;
+/// Number of doublings after which the back-off stays constant; keeps the shift in range.
+constexpr std::uint32_t max_exponent = 16;
 
 }  // namespace
 
@@ -31,58 +31,60 @@
     case attempt_result::failed:
         break;
     }
-    auto& each = records_[upstream];
-    ++each.failures;
-    const bool probed = each.until.has_value() && *each.until <= now;
-    const bool certain = result == attempt_result::unreachable;
+    auto& entry = records_[upstream];
+    ++entry.failures;
+    const bool probed = entry.ejected_until.has_value() && *entry.ejected_until <= now;
+    const bool connection_failed = result == attempt_result::unreachable;
     if (ejected(upstream, now) || !may_eject(peers, now))
     {
         return false;
     }
     if (result == attempt_result::overloaded)
     {
-        // It works, it is only full: a short pause that doesn't grow.
-        each.until = now + options_.ejection_base / 2;
+        // The upstream is healthy but overloaded: a short ejection that does not grow.
+        entry.ejected_until = now + options_.ejection_base / 2;
         return true;
     }
-    return (certain || probed || each.failures >= options_.ejection_failures) &&
-           eject(each, options_.ejection_base, now);
+    return (connection_failed || probed || entry.failures >= options_.ejection_failures) &&
+           eject(entry, options_.ejection_base, now);
 }
 
-bool upstream_health::eject(record& each, base::duration base_time, base::time_point now)
+bool upstream_health::eject(record& entry, base::duration base_time, base::time_point now)
 {
-    const auto factor = 1U << std::min(each.ejections, largest_exponent);
-    const base::duration longest = options_.ejection_max;
-    each.until = now + std::min(base_time * factor, longest);
-    ++each.ejections;
+    const auto factor = 1U << std::min(entry.ejections, max_exponent);
+    const base::duration max_duration = options_.ejection_max;
+    entry.ejected_until = now + std::min(base_time * factor, max_duration);
+    ++entry.ejections;
     return true;
 }
 
 bool upstream_health::ejected(const base::upstream_id& upstream, base::time_point now) const
 {
     const auto found = records_.find(upstream);
-    return found != records_.end() && found->second.until && *found->second.until > now;
+    return found != records_.end() && found->second.ejected_until &&
+           *found->second.ejected_until > now;
 }
 
 bool upstream_health::usable(const base::upstream_id& upstream, base::slots held,
                              base::time_point now) const
 {
     const auto found = records_.find(upstream);
-    if (found == records_.end() || !found->second.until)
+    if (found == records_.end() || !found->second.ejected_until)
     {
         return true;
     }
-    return *found->second.until <= now && held == 0;
+    return *found->second.ejected_until <= now && held == 0;
 }
 
 std::optional<base::time_point> upstream_health::next_ejection_end(base::time_point now) const
 {
     std::optional<base::time_point> next;
-    for (const auto& [upstream, each] : records_)
+    for (const auto& [upstream, entry] : records_)
     {
-        if (each.until && *each.until > now && (!next || *each.until < *next))
+        if (entry.ejected_until && *entry.ejected_until > now &&
+            (!next || *entry.ejected_until < *next))
         {
-            next = each.until;
+            next = entry.ejected_until;
         }
     }
     return next;
@@ -91,16 +93,16 @@
 void upstream_health::retain(const std::vector<base::upstream_id>& upstreams)
 {
     std::erase_if(
-        records_, [&](const auto& each)
-        { return std::find(upstreams.begin(), upstreams.end(), each.first) == upstreams.end(); });
+        records_, [&](const auto& entry)
+        { return std::find(upstreams.begin(), upstreams.end(), entry.first) == upstreams.end(); });
 }
 
 bool upstream_health::may_eject(const std::vector<base::upstream_id>& peers,
                                 base::time_point now) const
 {
-    const auto out = std::count_if(peers.begin(), peers.end(),
-                                   [&](const auto& each) { return ejected(each, now); });
-    return static_cast<double>(out + 1) <=
+    const auto ejected_count = std::count_if(peers.begin(), peers.end(),
+                                             [&](const auto& peer) { return ejected(peer, now); });
+    return static_cast<double>(ejected_count + 1) <=
            options_.max_ejected_fraction * static_cast<double>(peers.size());
 }
 
--- a/src/libcaraway/scheduling/upstream_health.hpp
+++ b/src/libcaraway/scheduling/upstream_health.hpp
@@ -12,26 +12,28 @@
 namespace caraway::scheduling
 {
 
-/// Keeps a router from upstreams that fail: each is ejected for a while that doubles with each
-/// repetition, then probed with one request. Never more than a part of a service's upstreams, as a
-/// fault that strikes more is rather this router's own, or the requests'.
+/// Ejects failing upstreams: each ejection lasts twice as long as the one before, then the upstream
+/// is probed with one request. Only a limited fraction of a service's upstreams is ejected, since a
+/// fault that affects more is more likely one of this router or of the requests.
 class upstream_health
 {
 public:
     explicit upstream_health(const scheduler_options& options);
 
-    /// Takes in how an attempt ended; `peers` are all upstreams of its service.
-    /// True if the upstream was ejected or came back.
+    /// Records the result of an attempt; `peers` are all upstreams of its service. Returns true if
+    /// the upstream was ejected or has recovered.
     bool record_result(const base::upstream_id& upstream, attempt_result result,
                        const std::vector<base::upstream_id>& peers, base::time_point now);
 
     bool ejected(const base::upstream_id& upstream, base::time_point now) const;
-    /// Whether one more request may go there while this router has `held` running there.
+    /// Whether one more request may be sent to `upstream` while this router runs `held` requests
+    /// there.
     bool usable(const base::upstream_id& upstream, base::slots held, base::time_point now) const;
-    /// When the next ejection ends.
+    /// End of the ejection that ends next; nothing if no upstream is ejected.
     std::optional<base::time_point> next_ejection_end(base::time_point now) const;
 
-    /// Another process runs under its id: what the one before did says nothing of it.
+    /// Call when another process has taken over the upstream's id: the results of the previous
+    /// process do not apply to the new one.
     void discard(const base::upstream_id& upstream)
     {
         records_.erase(upstream);
@@ -43,11 +45,11 @@
     {
         std::uint32_t failures = 0;
         std::uint32_t ejections = 0;
-        std::optional<base::time_point> until;
+        std::optional<base::time_point> ejected_until;
     };
 
     bool may_eject(const std::vector<base::upstream_id>& peers, base::time_point now) const;
-    bool eject(record& each, base::duration base_time, base::time_point now);
+    bool eject(record& entry, base::duration base_time, base::time_point now);
 
     const scheduler_options& options_;
     std::map<base::upstream_id, record> records_;
--- a/src/libcaraway/scheduling/upstream_window.cpp
+++ b/src/libcaraway/scheduling/upstream_window.cpp
@@ -21,11 +21,11 @@
     headroom_ = headroom;
 }
 
-void upstream_window::observe(base::slots running, base::slots waiting, base::time_point taken,
+void upstream_window::observe(base::slots running, base::slots waiting, base::time_point taken_at,
                               base::time_point now)
 {
-    // A report from before the last change shows the load that led to it, not its effect.
-    if (changed_at_ && taken <= *changed_at_)
+    // A report taken before the last change shows the load that caused the change, not its effect.
+    if (changed_at_ && taken_at <= *changed_at_)
     {
         return;
     }
