--- a/src/libcaraway/scheduling/service_totals.hpp
+++ b/src/libcaraway/scheduling/service_totals.hpp
@@ -16,8 +16,8 @@
 {
     std::uint32_t epoch = 0;
     base::cost lift;
-    /// Rendered through this node in this epoch. Decreases when an estimate turns out too high, and
-    /// is negative if that estimate was charged in an earlier epoch.
+    /// Rendered through this node in this epoch. Decreases when an estimate turns out too high,
+    /// also below 0 if that estimate was charged in an earlier epoch.
     base::cost own;
     /// `own` as last sent to an aggregator.
     base::cost reported;
--- a/src/libcaraway/scheduling/total_aggregator.cpp
+++ b/src/libcaraway/scheduling/total_aggregator.cpp
@@ -184,7 +184,7 @@
     std::erase_if(requesters_, [&](const auto& entry) { return now - entry.second > max_age; });
 }
 
-/// The time it takes to answer every requester once at the configured rate, and at least the
+/// The time it takes to answer every other requester once at the configured rate, and at least the
 /// configured period.
 base::duration total_aggregator::interval() const
 {
@@ -196,8 +196,9 @@
     return std::max(min_interval, needed);
 }
 
-/// False for a while after this node started: until then it knows too little of the fleet to lift
-/// an account.
+/// Returns false until scheduler_options::aggregator_warm_up has passed since the first call
+/// (unless this node is the only member): a node that has just started knows too little of the
+/// fleet to lift an account.
 bool total_aggregator::is_warmed_up(base::time_point now)
 {
     if (!started_)
--- a/tests/scheduling/fleet.cpp
+++ b/tests/scheduling/fleet.cpp
@@ -10,7 +10,7 @@
 {
 
 constexpr milliseconds step{1};
-/// A router's way to an upstream and back, each.
+/// One-way latency between a router and an upstream.
 constexpr milliseconds upstream_latency{1};
 constexpr milliseconds progress_period{100};
 
@@ -86,38 +86,38 @@
         }
         routers_[i].scheduler->apply_configuration(configuration_, now());
         routers_[i].scheduler->apply_members(members, now());
-        carry_out(i);
+        execute_actions(i);
     }
 }
 
 base::request_number fleet::submit(std::uint32_t node, const std::string& workspace, double cost,
                                    const std::string& service, double hint, milliseconds timeout)
 {
-    auto& at = routers_[node];
+    auto& target = routers_[node];
     request incoming;
-    incoming.number = base::request_number{++at.next_number};
+    incoming.number = base::request_number{++target.next_number};
     incoming.workspace = base::workspace_id(workspace);
     incoming.service = base::service_id(service);
     incoming.hint = base::cost(hint < 0 ? cost : hint);
     incoming.arrival = now();
     incoming.deadline = now() + timeout;
-    jobs_[{at.ref, incoming.number}] = {
+    jobs_[{target.ref, incoming.number}] = {
         .workspace = workspace, .cost = cost, .node = node, .service = service};
     const auto number = incoming.number;
-    fates_[{node, number}] = fate::waiting;
+    statuses_[{node, number}] = request_status::waiting;
     ++waiting_[{node, workspace, service}];
-    if (const auto refused = at.scheduler->submit(incoming, now()))
+    if (const auto rejected = target.scheduler->submit(incoming, now()))
     {
-        given_up_.push_back(*refused);
-        leave_queue(node, number, fate::given_up);
+        given_up_.push_back(*rejected);
+        remove_from_queue(node, number, request_status::given_up);
     }
-    carry_out(node);
+    execute_actions(node);
     return number;
 }
 
-void fleet::add_flood(flood source)
+void fleet::add_flood(flood added)
 {
-    floods_.push_back(std::move(source));
+    floods_.push_back(std::move(added));
 }
 
 void fleet::stop_flood(const std::string& workspace)
@@ -125,12 +125,12 @@
     std::erase_if(floods_, [&](const flood& each) { return each.workspace == workspace; });
 }
 
-void fleet::run_for(milliseconds time)
+void fleet::run_for(milliseconds duration)
 {
-    const auto end = now() + time;
+    const auto end = now() + duration;
     while (now() < end)
     {
-        top_up();
+        refill_floods();
         clock_.advance(step);
         advance_engines(step);
         while (!events_.empty() && events_.begin()->first <= now())
@@ -141,16 +141,16 @@
         }
         for (std::uint32_t i = 0; i < routers_.size(); ++i)
         {
-            wake(i);
+            tick_if_due(i);
         }
-        if (on_sample)
+        if (on_step)
         {
-            on_sample();
+            on_step();
         }
     }
 }
 
-void fleet::wake(std::uint32_t index)
+void fleet::tick_if_due(std::uint32_t index)
 {
     auto& scheduler = routers_[index].scheduler;
     if (!scheduler)
@@ -161,7 +161,7 @@
     if (next && *next <= now())
     {
         scheduler->tick(now());
-        carry_out(index);
+        execute_actions(index);
     }
 }
 
@@ -169,20 +169,20 @@
 {
     routers_[node].scheduler.reset();
     const auto ref = routers_[node].ref;
-    const auto gone = [&](const job_id& id)
+    const auto belongs_to_node = [&](const job_id& id)
     {
         return id.first == ref;
     };
     for (auto& [name, each] : engines_)
     {
-        std::erase_if(each.running, gone);
-        std::erase_if(each.waiting, gone);
+        std::erase_if(each.running, belongs_to_node);
+        std::erase_if(each.waiting, belongs_to_node);
     }
-    std::erase_if(jobs_, [&](const auto& each) { return gone(each.first); });
-    for (auto& [id, what] : fates_)
+    std::erase_if(jobs_, [&](const auto& each) { return belongs_to_node(each.first); });
+    for (auto& [id, status] : statuses_)
     {
-        const bool open = what == fate::waiting || what == fate::running;
-        what = id.first == node && open ? fate::lost : what;
+        const bool open = status == request_status::waiting || status == request_status::running;
+        status = id.first == node && open ? request_status::lost : status;
     }
     std::erase_if(floods_, [&](const flood& each) { return each.node == node; });
     std::erase_if(waiting_, [&](const auto& each) { return std::get<0>(each.first) == node; });
@@ -190,22 +190,23 @@
 
 void fleet::start(std::uint32_t node)
 {
-    auto& at = routers_[node];
-    at.ref.life = base::incarnation{static_cast<std::uint64_t>(at.ref.life) + 1};
-    at.scheduler = std::make_unique<node_scheduler>(options_.scheduling, at.ref, at.zone);
+    auto& target = routers_[node];
+    target.ref.life = base::incarnation{static_cast<std::uint64_t>(target.ref.life) + 1};
+    target.scheduler =
+        std::make_unique<node_scheduler>(options_.scheduling, target.ref, target.zone);
 }
 
-void fleet::set_cut(std::uint32_t a, std::uint32_t b, bool cut)
+void fleet::set_partitioned(std::uint32_t a, std::uint32_t b, bool partitioned)
 {
-    for (const auto& way : {std::pair(a, b), std::pair(b, a)})
+    for (const auto& direction : {std::pair(a, b), std::pair(b, a)})
     {
-        if (cut)
+        if (partitioned)
         {
-            cuts_.insert(way);
+            blocked_.insert(direction);
         }
         else
         {
-            cuts_.erase(way);
+            blocked_.erase(direction);
         }
     }
 }
@@ -235,13 +236,13 @@
     return routers_[index].ref;
 }
 
-std::uint32_t fleet::owner_of(const std::string& upstream, std::uint32_t seen_by)
+std::uint32_t fleet::owner_of(const std::string& upstream, std::uint32_t observer)
 {
-    for (const auto& each : node(seen_by).snapshot(now()).upstreams)
+    for (const auto& upstream_entry : node(observer).snapshot(now()).upstreams)
     {
-        if (each.upstream.str() == upstream)
+        if (upstream_entry.upstream.str() == upstream)
         {
-            return static_cast<std::uint32_t>(std::stoul(each.owner.str().substr(1)));
+            return static_cast<std::uint32_t>(std::stoul(upstream_entry.owner.str().substr(1)));
         }
     }
     return UINT32_MAX;
@@ -258,7 +259,7 @@
     return static_cast<std::uint32_t>(engines_.at(upstream).running.size());
 }
 
-std::uint32_t fleet::running_in_all() const
+std::uint32_t fleet::total_running() const
 {
     std::size_t sum = 0;
     for (const auto& [name, each] : engines_)
@@ -278,9 +279,9 @@
     return messages_;
 }
 
-fate fleet::fate_of(std::uint32_t node, base::request_number number) const
+request_status fleet::status_of(std::uint32_t node, base::request_number number) const
 {
-    return fates_.at({node, number});
+    return statuses_.at({node, number});
 }
 
 const std::vector<std::pair<std::uint32_t, base::request_number>>& fleet::started() const
@@ -293,30 +294,30 @@
     return given_up_;
 }
 
-void fleet::after(base::duration delay, event action)
+void fleet::schedule(base::duration delay, event callback)
 {
-    events_.emplace(now() + delay, std::move(action));
+    events_.emplace(now() + delay, std::move(callback));
 }
 
-void fleet::carry_out(std::uint32_t index)
+void fleet::execute_actions(std::uint32_t index)
 {
     for (const auto& next : routers_[index].scheduler->take_actions())
     {
-        if (const auto* sent = std::get_if<send_message>(&next))
+        if (const auto* outgoing = std::get_if<send_message>(&next))
         {
-            deliver(index, *sent);
+            deliver(index, *outgoing);
         }
         else if (const auto* started = std::get_if<start_attempt>(&next))
         {
             started_.emplace_back(index, started->request);
-            leave_queue(index, started->request, fate::running);
+            remove_from_queue(index, started->request, request_status::running);
             const job_id id{routers_[index].ref, started->request};
             const auto upstream = started->upstream.str();
-            after(upstream_latency, [this, id, upstream] { arrive(upstream, id); });
+            schedule(upstream_latency, [this, id, upstream] { enter_upstream(upstream, id); });
         }
         else if (const auto* over = std::get_if<give_up>(&next))
         {
-            leave_queue(index, over->request, fate::given_up);
+            remove_from_queue(index, over->request, request_status::given_up);
             given_up_.push_back(over->why);
         }
     }
@@ -330,80 +331,82 @@
     {
         on_message(from, sent);
     }
-    const int copies = 1 + (random_part() < options_.faults.repeated ? 1 : 0);
+    const int copies = 1 + (random_unit() < options_.faults.repeat_probability ? 1 : 0);
     for (int copy = 0; copy < copies; ++copy)
     {
-        if (cuts_.contains({from, to}) || random_part() < options_.faults.lost)
+        if (blocked_.contains({from, to}) || random_unit() < options_.faults.loss_probability)
         {
             continue;
         }
-        const auto late = milliseconds(
-            static_cast<int>(random_part() * static_cast<double>(options_.faults.jitter.count())));
-        after(options_.faults.latency + late,
-              [this, from = routers_[from].ref, to, message = sent.message]
-              {
-                  if (routers_[to].scheduler)
-                  {
-                      routers_[to].scheduler->receive(from, message, now());
-                      carry_out(to);
-                  }
-              });
+        const auto delay = milliseconds(
+            static_cast<int>(random_unit() * static_cast<double>(options_.faults.jitter.count())));
+        schedule(options_.faults.latency + delay,
+                 [this, from = routers_[from].ref, to, message = sent.message]
+                 {
+                     if (routers_[to].scheduler)
+                     {
+                         routers_[to].scheduler->receive(from, message, now());
+                         execute_actions(to);
+                     }
+                 });
     }
 }
 
-void fleet::arrive(const std::string& upstream, const job_id& id)
+void fleet::enter_upstream(const std::string& upstream, const job_id& id)
 {
     if (!jobs_.contains(id))
     {
         return;
     }
-    const auto fault = broken.find(upstream);
-    if (fault != broken.end())
+    const auto fault = forced_results.find(upstream);
+    if (fault != forced_results.end())
     {
         complete(upstream, id, fault->second);
         return;
     }
-    auto& at = engines_.at(upstream);
-    auto& line = at.running.size() < at.slots ? at.running : at.waiting;
-    line.push_back(id);
-    at.peak = std::max(at.peak, static_cast<std::uint32_t>(at.running.size() + at.waiting.size()));
+    auto& target = engines_.at(upstream);
+    auto& queue = target.running.size() < target.slots ? target.running : target.waiting;
+    queue.push_back(id);
+    target.peak = std::max(
+        target.peak, static_cast<std::uint32_t>(target.running.size() + target.waiting.size()));
 }
 
-void fleet::leave(const std::string& upstream, const job_id& id)
+void fleet::leave_upstream(const std::string& upstream, const job_id& id)
 {
-    auto& at = engines_.at(upstream);
-    std::erase(at.running, id);
-    if (!at.waiting.empty() && at.running.size() < at.slots)
+    auto& target = engines_.at(upstream);
+    std::erase(target.running, id);
+    if (!target.waiting.empty() && target.running.size() < target.slots)
     {
-        at.running.push_back(at.waiting.front());
-        at.waiting.erase(at.waiting.begin());
+        target.running.push_back(target.waiting.front());
+        target.waiting.erase(target.waiting.begin());
     }
 }
 
-void fleet::advance_engines(base::duration passed)
+void fleet::advance_engines(base::duration elapsed)
 {
-    const double part = options_.speed * std::chrono::duration<double>(passed).count();
-    const bool tell = now().time_since_epoch() % progress_period == base::duration::zero();
-    for (auto& [upstream, at] : engines_)
+    const double work = options_.speed * std::chrono::duration<double>(elapsed).count();
+    const bool report_progress =
+        now().time_since_epoch() % progress_period == base::duration::zero();
+    for (auto& [upstream, loaded] : engines_)
     {
-        const auto running = at.running;
+        const auto running = loaded.running;
         for (const auto& id : running)
         {
             auto& each = jobs_.at(id);
-            const double rendered = std::min(part, each.cost - each.rendered);
+            const double rendered = std::min(work, each.cost - each.rendered);
             each.rendered += rendered;
             served_[each.workspace] += rendered;
             if (each.rendered >= each.cost - 1e-9)
             {
-                leave(upstream, id);
-                after(upstream_latency,
-                      [this, id, name = upstream] { complete(name, id, attempt_result::done); });
+                leave_upstream(upstream, id);
+                schedule(upstream_latency,
+                         [this, id, name = upstream] { complete(name, id, attempt_result::done); });
             }
-            else if (tell)
+            else if (report_progress)
             {
                 routers_[each.node].scheduler->progress(id.second, base::cost(each.rendered),
                                                         now());
-                carry_out(each.node);
+                execute_actions(each.node);
             }
         }
     }
@@ -421,23 +424,24 @@
     scheduler.finished(id.second, base::cost(found->second.rendered), result, now());
     if (result != attempt_result::done && scheduler.retry(id.second, now()))
     {
-        fates_[{node, id.second}] = fate::waiting;
+        statuses_[{node, id.second}] = request_status::waiting;
         ++waiting_[{node, found->second.workspace, found->second.service}];
     }
     else
     {
-        fates_[{node, id.second}] = result == attempt_result::done ? fate::done : fate::lost;
+        statuses_[{node, id.second}] =
+            result == attempt_result::done ? request_status::done : request_status::lost;
         jobs_.erase(found);
     }
-    carry_out(node);
+    execute_actions(node);
 }
 
-void fleet::top_up()
+void fleet::refill_floods()
 {
     for (const auto& source : floods_)
     {
         const auto& waiting = waiting_[{source.node, source.workspace, source.service}];
-        // A request that is refused doesn't wait; the next step tries again.
+        // A rejected request does not wait; the next step submits another.
         for (auto room = source.depth; room > waiting; --room)
         {
             const double cost = source.cost();
@@ -446,14 +450,15 @@
     }
 }
 
-void fleet::leave_queue(std::uint32_t node, base::request_number number, fate next)
+void fleet::remove_from_queue(std::uint32_t node, base::request_number number,
+                              request_status status)
 {
     const auto& each = jobs_.at({routers_[node].ref, number});
     --waiting_[{node, each.workspace, each.service}];
-    fates_[{node, number}] = next;
+    statuses_[{node, number}] = status;
 }
 
-double fleet::random_part()
+double fleet::random_unit()
 {
     return std::uniform_real_distribution<double>(0, 1)(random_);
 }
--- a/tests/scheduling/sharing_test.cpp
+++ b/tests/scheduling/sharing_test.cpp
@@ -31,9 +31,9 @@
     f.add_service("s", 1, 2);
     f.publish();
     const auto number = f.submit(0, "a", 10);
-    BOOST_TEST((f.fate_of(0, number) == fate::running));
+    BOOST_TEST((f.status_of(0, number) == request_status::running));
     f.run_for(milliseconds(1000));
-    BOOST_TEST((f.fate_of(0, number) == fate::done));
+    BOOST_TEST((f.status_of(0, number) == request_status::done));
     BOOST_TEST(f.node(0).snapshot(f.now()).owned[0].held == 0);
 }
 
@@ -48,9 +48,9 @@
     const auto other = (owner + 1) % 3;
     const auto number = f.submit(other, "a", 10);
     f.run_for(milliseconds(10));
-    BOOST_TEST((f.fate_of(other, number) == fate::running));
+    BOOST_TEST((f.status_of(other, number) == request_status::running));
     f.run_for(milliseconds(3000));
-    BOOST_TEST((f.fate_of(other, number) == fate::done));
+    BOOST_TEST((f.status_of(other, number) == request_status::done));
     BOOST_TEST(f.node(owner).snapshot(f.now()).owned[0].held == 0);
 }
 
