--- a/src/libcaraway/scheduling/options.hpp
+++ b/src/libcaraway/scheduling/options.hpp
@@ -18,7 +18,7 @@
     single_scheduler,  ///< One router owns all upstreams.
 };
 
-/// The name written to reports and settings, as in "shared_counters".
+/// Stable name of the mode, as in "shared_counters".
 const char* name(policy value);
 
 /// Settings of the scheduler; must be the same on every router.
