--- a/src/carawayd/control/membership_host.cpp
+++ b/src/carawayd/control/membership_host.cpp
@@ -11,7 +11,7 @@
 
 using caraway::membership::member_changed;
 using caraway::membership::newer_configuration_seen;
-using caraway::membership::newer_life_seen;
+using caraway::membership::newer_incarnation_seen;
 
 namespace
 {
@@ -87,10 +87,10 @@
                        {{"node", change->current.node.id},
                         {"state", caraway::membership::name(change->current.state())}});
         }
-        else if (const auto* life = std::get_if<newer_life_seen>(&action))
+        else if (const auto* life = std::get_if<newer_incarnation_seen>(&action))
         {
             log().error("Another process uses this node's id, or the clock went back.",
-                        {{"life", life->life}});
+                        {{"life", life->incarnation}});
         }
     }
     if (changed)
--- a/src/carawayd/daemon.cpp
+++ b/src/carawayd/daemon.cpp
@@ -31,7 +31,7 @@
 }
 
 /// A life is named by when it began, in milliseconds since 1970: larger for each later one. Should
-/// the VM's clock go back, membership says so (newer_life_seen).
+/// the VM's clock go back, membership says so (newer_incarnation_seen).
 caraway::base::node_ref this_life(const caraway::base::node_id& node,
                                   const caraway::base::clock& clock)
 {
--- a/src/carawayd/traffic/local_answers.cpp
+++ b/src/carawayd/traffic/local_answers.cpp
@@ -57,13 +57,13 @@
     const std::string named = query.queryItemValue("zone").toStdString();
     const caraway::base::zone_id zone = named.empty() ? view.zone : caraway::base::zone_id(named);
     const auto chosen = caraway::membership::choose_entries(
-        {.keep = view.entry_lifetime, .random = random}, view.members, zone, view.region, now);
+        {.lifetime = view.entry_lifetime, .random = random}, view.members, zone, view.region, now);
     QJsonArray addresses;
     for (const auto& entry : chosen.addresses)
     {
         addresses.append(describe(entry));
     }
-    const auto keep = std::chrono::milliseconds(chosen.keep).count();
+    const auto keep = std::chrono::milliseconds(chosen.lifetime).count();
     return json_response(200, {{"addresses", addresses}, {"keep_ms", static_cast<qint64>(keep)}});
 }
 
--- a/src/libcaraway/membership/configuration_watch.cpp
+++ b/src/libcaraway/membership/configuration_watch.cpp
@@ -30,7 +30,7 @@
     return is_news;
 }
 
-bool configuration_watch::hear(const configuration_mark& newest, base::config_version in_force,
+bool configuration_watch::hear(const configuration_ref& newest, base::config_version in_force,
                                const base::node_id& peer, base::time_point now)
 {
     if (newest.version < newest_.version || newest.version == base::config_version{})
@@ -50,7 +50,7 @@
     return true;
 }
 
-std::optional<configuration_mark> configuration_watch::take_reminder(base::time_point now)
+std::optional<configuration_ref> configuration_watch::take_reminder(base::time_point now)
 {
     if (own_ >= newest_.version || now < remind_at_)
     {
--- a/src/libcaraway/membership/entry_list.cpp
+++ b/src/libcaraway/membership/entry_list.cpp
@@ -108,7 +108,7 @@
                      { return std::tuple(a.distance, a.load) < std::tuple(b.distance, b.load); });
     spread_over_zones(found, options.count);
     found.resize(std::min(found.size(), options.count));
-    entry_list list{.addresses = {}, .keep = options.keep};
+    entry_list list{.addresses = {}, .lifetime = options.lifetime};
     for (const auto& each : found)
     {
         list.addresses.push_back({.node = each.node->node.id,
--- a/src/libcaraway/membership/entry_list.hpp
+++ b/src/libcaraway/membership/entry_list.hpp
@@ -15,7 +15,7 @@
 {
     std::size_t count = 3;
     /// How long a caller may use the answer without asking again.
-    std::chrono::seconds keep{30};
+    std::chrono::seconds lifetime{30};
     /// Older load counts as unknown, which ranks as average.
     base::duration max_load_age = std::chrono::seconds(15);
     /// Any 64 random bits.
@@ -34,7 +34,7 @@
 {
     /// Best first.
     std::vector<entry_address> addresses{};
-    std::chrono::seconds keep{0};
+    std::chrono::seconds lifetime{0};
 };
 
 /// Which of our addresses a caller near `zone` should use: ready nodes only, near zone first, less
--- a/src/libcaraway/membership/expiring_set.cpp
+++ b/src/libcaraway/membership/expiring_set.cpp
@@ -60,7 +60,7 @@
 
 std::vector<expiring_entry> expiring_set::digest(std::size_t max_bytes, base::time_point now)
 {
-    const std::size_t room = max_bytes / options_.bytes_an_entry;
+    const std::size_t room = max_bytes / options_.bytes_per_entry;
     std::vector<expiring_entry> taken;
     auto next = records_.upper_bound(last_sent_);
     for (std::size_t seen = 0; seen < records_.size() && taken.size() < room; ++seen, ++next)
--- a/src/libcaraway/membership/expiring_set.hpp
+++ b/src/libcaraway/membership/expiring_set.hpp
@@ -17,7 +17,7 @@
     /// A longer time to live, from here or from a peer, is cut to this.
     std::chrono::milliseconds max_ttl{std::chrono::minutes(10)};
     /// What one entry takes in a message at most.
-    std::size_t bytes_an_entry = 24;
+    std::size_t bytes_per_entry = 24;
 };
 
 /// A small set of (fingerprint, count) that spreads over the fleet by gossip and forgets by itself.
@@ -42,9 +42,9 @@
     bool merge(const std::vector<expiring_entry>& entries, base::time_point now);
     /// Entries for the next message, at most `max_bytes` of them; takes turns when not all fit.
     std::vector<expiring_entry> digest(std::size_t max_bytes, base::time_point now);
-    std::size_t bytes_an_entry() const
+    std::size_t bytes_per_entry() const
     {
-        return options_.bytes_an_entry;
+        return options_.bytes_per_entry;
     }
     /// All that have not expired, for the dump of the state.
     std::vector<expiring_entry> entries(base::time_point now) const;
--- a/src/libcaraway/membership/gossip_writer.cpp
+++ b/src/libcaraway/membership/gossip_writer.cpp
@@ -90,7 +90,7 @@
     };
     take(total_bound(written.updates));
     written.entries = from.entries.digest(std::min(room, from.max_entry_bytes), now);
-    take(written.entries.size() * from.entries.bytes_an_entry());
+    take(written.entries.size() * from.entries.bytes_per_entry());
     for (auto& update : from.updates.take(std::min(room, from.budget.left(now)), from.retransmits))
     {
         from.budget.spend(take(size_bound(update)));
--- a/src/libcaraway/membership/membership.hpp
+++ b/src/libcaraway/membership/membership.hpp
@@ -52,12 +52,12 @@
 
 /// The fleet knows a later life of this node's own id: its clock went back, or two processes have
 /// the same id. While joining, start again with a life above this one; later, it is a duplicate.
-struct newer_life_seen
+struct newer_incarnation_seen
 {
-    base::incarnation life{};
+    base::incarnation incarnation{};
 };
 
-using action = std::variant<send, member_changed, newer_configuration_seen, newer_life_seen>;
+using action = std::variant<send, member_changed, newer_configuration_seen, newer_incarnation_seen>;
 
 /// Times and limits. The defaults detect a death at eight nodes in about two seconds.
 struct membership_options
--- a/src/libcaraway/membership/membership_timers.cpp
+++ b/src/libcaraway/membership/membership_timers.cpp
@@ -47,7 +47,7 @@
     if (life > self_.life && life > newest_life_said_)
     {
         newest_life_said_ = life;
-        actions_.emplace_back(newer_life_seen{.life = life});
+        actions_.emplace_back(newer_incarnation_seen{.incarnation = life});
     }
 }
 
--- a/src/libcaraway/membership/message_size.cpp
+++ b/src/libcaraway/membership/message_size.cpp
@@ -101,7 +101,7 @@
            integer(static_cast<std::uint64_t>(sample.configuration));
 }
 
-std::size_t gossip_header_bound(const configuration_mark& newest)
+std::size_t gossip_header_bound(const configuration_ref& newest)
 {
     constexpr std::size_t longest_load = 15;
     constexpr std::size_t view = 5;
--- a/src/libcaraway/membership/message_size.hpp
+++ b/src/libcaraway/membership/message_size.hpp
@@ -12,7 +12,7 @@
 std::size_t size_bound(const member_update& update);
 std::size_t size_bound(const load_sample& sample);
 /// A gossip with its lists empty.
-std::size_t gossip_header_bound(const configuration_mark& newest);
+std::size_t gossip_header_bound(const configuration_ref& newest);
 std::size_t size_bound(const sync_reply& reply);
 /// Any message but gossip.
 std::size_t size_bound(const message& other);
--- a/src/libcaraway/membership/messages.hpp
+++ b/src/libcaraway/membership/messages.hpp
@@ -103,13 +103,13 @@
 };
 
 /// The newest accepted configuration that a node has heard of, and a node that holds it.
-struct configuration_mark
+struct configuration_ref
 {
     base::config_version version{};
     config::sha256_hex hash{};  ///< Empty exactly when the version is 0.
     base::node_id holder{};
 
-    friend bool operator==(const configuration_mark&, const configuration_mark&) = default;
+    friend bool operator==(const configuration_ref&, const configuration_ref&) = default;
 };
 
 /// One element of an expiring_set on its way.
@@ -186,7 +186,7 @@
 {
     load_digest load{};                    ///< The sender's own.
     base::config_version configuration{};  ///< In force at the sender.
-    configuration_mark newest{};
+    configuration_ref newest{};
     /// Of the sender's whole list of members: another number than ours calls for a sync_request.
     std::uint32_t view = 0;
     std::vector<member_update> updates{};
--- a/src/libcaraway/net/datagram_link.hpp
+++ b/src/libcaraway/net/datagram_link.hpp
@@ -70,7 +70,7 @@
     membership::endpoint local() const;
     void set_receive_hook(receive_hook hook);
     void set_keys(wire::key_ring keys);
-    /// After starting again with a later life (membership::newer_life_seen).
+    /// After starting again with a later life (membership::newer_incarnation_seen).
     void set_self(base::node_ref self);
 
     /// Sends at the end of this turn of the event loop, together with all else for that peer.
--- a/src/libcaraway/wire/membership_codec.cpp
+++ b/src/libcaraway/wire/membership_codec.cpp
@@ -153,14 +153,14 @@
 }
 
 /// The hash travels as its 32 bytes.
-void write_fields(QCborStreamWriter& out, const configuration_mark& value)
+void write_fields(QCborStreamWriter& out, const configuration_ref& value)
 {
     write(out, static_cast<std::uint64_t>(value.version));
     out.append(QByteArray::fromHex(QByteArray::fromStdString(value.hash)));
     write(out, value.holder);
 }
 
-void read_fields(cbor_reader& in, configuration_mark& value)
+void read_fields(cbor_reader& in, configuration_ref& value)
 {
     read_number(in, value.version);
     const auto hash = QByteArray::fromStdString(in.bytes(hash_bytes));
--- a/tests/membership/test_membership.cpp
+++ b/tests/membership/test_membership.cpp
@@ -154,7 +154,7 @@
     fleet.start(8);
     fleet.restart(2, 10);
     BOOST_TEST(fleet.run_until([&] { return !fleet.newer_lives.empty(); }, 3s));
-    BOOST_TEST((fleet.newer_lives.front().life == virtual_fleet::life_of(1000)));
+    BOOST_TEST((fleet.newer_lives.front().incarnation == virtual_fleet::life_of(1000)));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/membership/virtual_fleet.cpp
+++ b/tests/membership/virtual_fleet.cpp
@@ -231,7 +231,7 @@
         }
         else
         {
-            newer_lives.push_back(std::get<membership::newer_life_seen>(action));
+            newer_lives.push_back(std::get<membership::newer_incarnation_seen>(action));
         }
     }
     schedule_tick(node);
--- a/tests/membership/virtual_fleet.hpp
+++ b/tests/membership/virtual_fleet.hpp
@@ -80,7 +80,7 @@
 
     std::vector<change> changes;
     std::vector<membership::newer_configuration_seen> configurations;
-    std::vector<membership::newer_life_seen> newer_lives;
+    std::vector<membership::newer_incarnation_seen> newer_lives;
     std::map<std::size_t, traffic> sent;
 
 private:
--- a/tests/wire/generators.hpp
+++ b/tests/wire/generators.hpp
@@ -162,15 +162,15 @@
 };
 
 template <>
-struct Arbitrary<caraway::membership::configuration_mark>
+struct Arbitrary<caraway::membership::configuration_ref>
 {
-    static Gen<caraway::membership::configuration_mark> arbitrary()
+    static Gen<caraway::membership::configuration_ref> arbitrary()
     {
         return gen::map(gen::arbitrary<std::pair<std::uint32_t, caraway::base::node_id>>(),
                         [](const auto& parts)
                         {
                             const bool is_none = parts.first == 0;
-                            return caraway::membership::configuration_mark{
+                            return caraway::membership::configuration_ref{
                                 .version = caraway::base::config_version{parts.first},
                                 .hash = is_none ? "" : std::string(64, 'a' + parts.first % 6),
                                 .holder = parts.second};
--- a/tests/wire/test_wire.cpp
+++ b/tests/wire/test_wire.cpp
@@ -270,7 +270,7 @@
               {
                   bound += membership::size_bound(each);
               }
-              bound += value.entries.size() * membership::expiring_set_options{}.bytes_an_entry;
+              bound += value.entries.size() * membership::expiring_set_options{}.bytes_per_entry;
               RC_ASSERT(encoded_size(value) <= bound);
           });
     holds("size_bound of the others",
