--- a/src/libcaraway/membership/configuration_watch.cpp
+++ b/src/libcaraway/membership/configuration_watch.cpp
@@ -25,38 +25,40 @@
     {
         return false;
     }
-    const bool is_news = version > newest_.version;
+    const bool is_newer = version > newest_.version;
     newest_ = {.version = version, .hash = hash, .holder = self_};
-    return is_news;
+    return is_newer;
 }
 
-bool configuration_watch::hear(const configuration_ref& newest, base::config_version in_force,
-                               const base::node_id& peer, base::time_point now)
+bool configuration_watch::record_peer(const configuration_ref& newest,
+                                      base::config_version peer_version, const base::node_id& peer,
+                                      base::time_point now)
 {
     if (newest.version < newest_.version || newest.version == base::config_version{})
     {
         return false;
     }
-    const bool peer_holds_it = in_force == newest.version;
+    const bool peer_has_version = peer_version == newest.version;
     if (newest.version == newest_.version)
     {
-        // The latest holder is the likeliest to be there still when it is asked.
-        newest_.holder = own_ == newest_.version ? self_ : peer_holds_it ? peer : newest_.holder;
+        // The most recently seen holder is the most likely to be reachable when the configuration
+        // is fetched.
+        newest_.holder = own_ == newest_.version ? self_ : peer_has_version ? peer : newest_.holder;
         return false;
     }
     newest_ = newest;
-    newest_.holder = peer_holds_it ? peer : newest.holder;
-    remind_at_ = now;
+    newest_.holder = peer_has_version ? peer : newest.holder;
+    next_reminder_at_ = now;
     return true;
 }
 
 std::optional<configuration_ref> configuration_watch::take_reminder(base::time_point now)
 {
-    if (own_ >= newest_.version || now < remind_at_)
+    if (own_ >= newest_.version || now < next_reminder_at_)
     {
         return std::nullopt;
     }
-    remind_at_ = now + reminder_interval;
+    next_reminder_at_ = now + reminder_interval;
     return newest_;
 }
 
@@ -66,7 +68,7 @@
     {
         return std::nullopt;
     }
-    return remind_at_;
+    return next_reminder_at_;
 }
 
 }  // namespace caraway::membership
--- a/src/libcaraway/membership/entry_list.cpp
+++ b/src/libcaraway/membership/entry_list.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/// Requests that wait weigh more than a connection, which may be idle.
+/// A waiting request counts as more load than a connection, which may be idle.
 constexpr std::uint32_t waiting_weight = 4;
 
 struct candidate
@@ -20,28 +20,29 @@
     std::uint32_t load = 0;
 };
 
-/// In powers of two: callers who ask at the same moment all see the same loads, and would all go to
-/// the one node that is least loaded by a little.
+/// Rounds to powers of two: callers that ask at the same time see the same loads, and with exact
+/// loads all of them would choose the node whose load is lowest by a small margin.
 std::uint32_t load_rank(std::uint64_t load)
 {
     return static_cast<std::uint32_t>(std::bit_width(load));
 }
 
-std::uint64_t load_of(const load_digest& load)
+std::uint64_t weighted_load(const load_digest& load)
 {
     return std::uint64_t{load.waiting} * waiting_weight + load.connections;
 }
 
-int distance(const member& of, const base::zone_id& zone, const base::region_id& region)
+int distance(const member& node, const base::zone_id& zone, const base::region_id& region)
 {
-    if (of.details.zone == zone)
+    if (node.details.zone == zone)
     {
         return 0;
     }
-    return of.details.region == region ? 1 : 2;
+    return node.details.region == region ? 1 : 2;
 }
 
-/// Candidates in random order, a missing or old load replaced by the average.
+/// Alive nodes in random order. A missing or stale load is replaced by the average of the fresh
+/// ones.
 std::vector<candidate> candidates(const entry_list_options& options,
                                   const std::map<base::node_id, member>& members,
                                   const base::zone_id& zone, const base::region_id& region,
@@ -49,50 +50,51 @@
 {
     std::uint64_t total = 0;
     std::uint64_t known = 0;
-    const auto is_fresh = [&](const member& each)
+    const auto is_fresh = [&](const member& node)
     {
-        return each.load_at && now - *each.load_at <= options.max_load_age;
+        return node.load_measured_at && now - *node.load_measured_at <= options.max_load_age;
     };
-    for (const auto& [id, each] : members)
+    for (const auto& [id, node] : members)
     {
-        if (is_fresh(each))
+        if (is_fresh(node))
         {
-            total += load_of(each.load);
+            total += weighted_load(node.load);
             ++known;
         }
     }
     const std::uint64_t average = known == 0 ? 0 : total / known;
-    std::vector<candidate> found;
-    for (const auto& [id, each] : members)
+    std::vector<candidate> selected;
+    for (const auto& [id, node] : members)
     {
-        if (each.state() == member_state::alive)
+        if (node.state() == member_state::alive)
         {
-            const auto load = is_fresh(each) ? load_of(each.load) : average;
-            found.push_back(
-                {.node = &each, .distance = distance(each, zone, region), .load = load_rank(load)});
+            const auto load = is_fresh(node) ? weighted_load(node.load) : average;
+            selected.push_back(
+                {.node = &node, .distance = distance(node, zone, region), .load = load_rank(load)});
         }
     }
-    shuffle(found, options.random);
-    return found;
+    shuffle(selected, options.random);
+    return selected;
 }
 
-/// Puts the best of another zone in the last place that will be used.
-void spread_over_zones(std::vector<candidate>& sorted, std::size_t count)
+/// If the first `count` entries are all in one zone, replaces the last of them by the best entry of
+/// another zone.
+void include_other_zone(std::vector<candidate>& sorted, std::size_t count)
 {
     if (count < 2 || sorted.size() <= count)
     {
         return;
     }
     const auto& nearest = sorted.front().node->details.zone;
-    const auto is_elsewhere = [&](const candidate& each)
+    const auto is_elsewhere = [&](const candidate& entry)
     {
-        return each.node->details.zone != nearest;
+        return entry.node->details.zone != nearest;
     };
-    const auto used = sorted.begin() + static_cast<std::ptrdiff_t>(count);
-    const auto other = std::find_if(used, sorted.end(), is_elsewhere);
-    if (std::none_of(sorted.begin(), used, is_elsewhere) && other != sorted.end())
+    const auto cutoff = sorted.begin() + static_cast<std::ptrdiff_t>(count);
+    const auto other = std::find_if(cutoff, sorted.end(), is_elsewhere);
+    if (std::none_of(sorted.begin(), cutoff, is_elsewhere) && other != sorted.end())
     {
-        std::iter_swap(used - 1, other);
+        std::iter_swap(cutoff - 1, other);
     }
 }
 
@@ -102,18 +104,18 @@
                           const std::map<base::node_id, member>& members, const base::zone_id& zone,
                           const base::region_id& region, base::time_point now)
 {
-    auto found = candidates(options, members, zone, region, now);
-    std::stable_sort(found.begin(), found.end(),
+    auto selected = candidates(options, members, zone, region, now);
+    std::stable_sort(selected.begin(), selected.end(),
                      [](const candidate& a, const candidate& b)
                      { return std::tuple(a.distance, a.load) < std::tuple(b.distance, b.load); });
-    spread_over_zones(found, options.count);
-    found.resize(std::min(found.size(), options.count));
+    include_other_zone(selected, options.count);
+    selected.resize(std::min(selected.size(), options.count));
     entry_list list{.addresses = {}, .lifetime = options.lifetime};
-    for (const auto& each : found)
+    for (const auto& entry : selected)
     {
-        list.addresses.push_back({.node = each.node->node.id,
-                                  .address = each.node->details.caller,
-                                  .zone = each.node->details.zone});
+        list.addresses.push_back({.node = entry.node->node.id,
+                                  .address = entry.node->details.caller,
+                                  .zone = entry.node->details.zone});
     }
     return list;
 }
--- a/src/libcaraway/membership/entry_list.hpp
+++ b/src/libcaraway/membership/entry_list.hpp
@@ -14,15 +14,15 @@
 struct entry_list_options
 {
     std::size_t count = 3;
-    /// How long a caller may use the answer without asking again.
+    /// How long a caller may use the list before it has to request a new one, in seconds.
     std::chrono::seconds lifetime{30};
-    /// Older load counts as unknown, which ranks as average.
+    /// A load older than this counts as unknown, which ranks as the average.
     base::duration max_load_age = std::chrono::seconds(15);
-    /// Any 64 random bits.
+    /// Returns 64 random bits.
     random_source random{};
 };
 
-/// One address for a caller.
+/// One router address for a caller.
 struct entry_address
 {
     base::node_id node{};
@@ -37,9 +37,9 @@
     std::chrono::seconds lifetime{0};
 };
 
-/// Which of our addresses a caller near `zone` should use: ready nodes only, near zone first, less
-/// loaded first, equals in random order. The last place goes to another zone if there is one, so
-/// that the loss of a zone does not strand the caller.
+/// Chooses the router addresses for a caller near `zone`: only alive nodes; the same zone first,
+/// then the same region; lower load first; ties in random order. The last entry is in another zone
+/// if there is one, so that a caller still has a usable address after the loss of a zone.
 entry_list choose_entries(const entry_list_options& options,
                           const std::map<base::node_id, member>& members, const base::zone_id& zone,
                           const base::region_id& region, base::time_point now);
--- a/src/libcaraway/membership/expiring_set.cpp
+++ b/src/libcaraway/membership/expiring_set.cpp
@@ -8,24 +8,25 @@
 namespace
 {
 
-std::uint32_t milliseconds_left(base::time_point until, base::time_point now)
+std::uint32_t remaining_ms(base::time_point expiry, base::time_point now)
 {
-    const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(until - now).count();
-    return static_cast<std::uint32_t>(std::max<std::int64_t>(left, 0));
+    const auto remaining =
+        std::chrono::duration_cast<std::chrono::milliseconds>(expiry - now).count();
+    return static_cast<std::uint32_t>(std::max<std::int64_t>(remaining, 0));
 }
 
 }  // namespace
 
 expiring_set::expiring_set(options limits) : options_(limits) {}
 
-std::uint32_t expiring_set::count_up(std::uint64_t fingerprint, std::chrono::milliseconds ttl,
-                                     base::time_point now)
+std::uint32_t expiring_set::increment(std::uint64_t fingerprint, std::chrono::milliseconds ttl,
+                                      base::time_point now)
 {
-    // A count that expired goes on from where it was: peers remember it too, and would take a
-    // smaller one for old news.
+    // An expired count is continued rather than reset: peers remember the count as well, and would
+    // ignore a smaller one as stale.
     const auto known = records_.find(fingerprint);
-    const std::uint32_t former = known == records_.end() ? 0 : known->second.count;
-    store(fingerprint, former + 1, ttl, now);
+    const std::uint32_t previous = known == records_.end() ? 0 : known->second.count;
+    store(fingerprint, previous + 1, ttl, now);
     return count(fingerprint, now);
 }
 
@@ -41,29 +42,30 @@
 
 bool expiring_set::merge(const std::vector<expiring_entry>& entries, base::time_point now)
 {
-    bool news = false;
+    bool changed = false;
     for (const auto& entry : entries)
     {
         const auto known = records_.find(entry.fingerprint);
-        // What is at hand with this count keeps its expiry, also when that has passed. Were the
-        // later one taken, two nodes would prolong an entry for each other by the time that a
-        // message travels, for ever if that is longer than the pause between messages.
+        // An entry with the same or a larger count keeps its expiry, even if that has passed. If
+        // the later expiry were taken, two nodes would extend the entry for each other by the
+        // message delay, without end if the delay is longer than the interval between messages.
         if (known != records_.end() && known->second.count >= entry.count)
         {
             continue;
         }
         store(entry.fingerprint, entry.count, std::chrono::milliseconds(entry.ttl_ms), now);
-        news = true;
+        changed = true;
     }
-    return news;
+    return changed;
 }
 
-std::vector<expiring_entry> expiring_set::digest(std::size_t max_bytes, base::time_point now)
+std::vector<expiring_entry> expiring_set::next_batch(std::size_t max_bytes, base::time_point now)
 {
-    const std::size_t room = max_bytes / options_.bytes_per_entry;
-    std::vector<expiring_entry> taken;
+    const std::size_t capacity = max_bytes / options_.bytes_per_entry;
+    std::vector<expiring_entry> batch;
     auto next = records_.upper_bound(last_sent_);
-    for (std::size_t seen = 0; seen < records_.size() && taken.size() < room; ++seen, ++next)
+    for (std::size_t visited = 0; visited < records_.size() && batch.size() < capacity;
+         ++visited, ++next)
     {
         if (next == records_.end())
         {
@@ -72,13 +74,13 @@
         const auto& [fingerprint, value] = *next;
         if (value.expiry > now)
         {
-            taken.push_back({.fingerprint = fingerprint,
+            batch.push_back({.fingerprint = fingerprint,
                              .count = value.count,
-                             .ttl_ms = milliseconds_left(value.expiry, now)});
+                             .ttl_ms = remaining_ms(value.expiry, now)});
             last_sent_ = fingerprint;
         }
     }
-    return taken;
+    return batch;
 }
 
 std::vector<expiring_entry> expiring_set::entries(base::time_point now) const
@@ -90,7 +92,7 @@
         {
             all.push_back({.fingerprint = fingerprint,
                            .count = value.count,
-                           .ttl_ms = milliseconds_left(value.expiry, now)});
+                           .ttl_ms = remaining_ms(value.expiry, now)});
         }
     }
     return all;
@@ -99,23 +101,23 @@
 void expiring_set::store(std::uint64_t fingerprint, std::uint32_t count,
                          std::chrono::milliseconds ttl, base::time_point now)
 {
-    make_room(now);
+    evict(now);
     const auto expiry = now + std::min(ttl, options_.max_ttl);
     records_[fingerprint] = {
-        .count = count, .expiry = expiry, .forget_at = expiry + options_.max_ttl};
+        .count = count, .expiry = expiry, .discard_at = expiry + options_.max_ttl};
 }
 
-void expiring_set::make_room(base::time_point now)
+void expiring_set::evict(base::time_point now)
 {
-    std::erase_if(records_, [now](const auto& item) { return item.second.forget_at <= now; });
+    std::erase_if(records_, [now](const auto& item) { return item.second.discard_at <= now; });
     if (records_.size() < options_.max_entries)
     {
         return;
     }
-    const auto first_to_go = std::min_element(records_.begin(), records_.end(),
-                                              [](const auto& a, const auto& b)
-                                              { return a.second.expiry < b.second.expiry; });
-    records_.erase(first_to_go);
+    const auto first_to_expire = std::min_element(records_.begin(), records_.end(),
+                                                  [](const auto& a, const auto& b)
+                                                  { return a.second.expiry < b.second.expiry; });
+    records_.erase(first_to_expire);
 }
 
 }  // namespace caraway::membership
--- a/src/libcaraway/membership/gossip_writer.cpp
+++ b/src/libcaraway/membership/gossip_writer.cpp
@@ -11,41 +11,45 @@
 namespace
 {
 
-/// Older samples are not worth their bytes.
+/// Load samples older than this are not worth the bytes that they take.
 constexpr auto max_sample_age = std::chrono::seconds(30);
 
-load_sample sample_of(const member& of, base::time_point now)
+load_sample make_sample(const member& known, base::time_point now)
 {
-    const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(now - *of.load_at);
-    return {.node = of.node.id,
+    const auto age =
+        std::chrono::duration_cast<std::chrono::milliseconds>(now - *known.load_measured_at);
+    return {.node = known.node.id,
             .age_ms = static_cast<std::uint32_t>(std::max<std::int64_t>(age.count(), 0)),
-            .load = of.load,
-            .configuration = of.configuration};
+            .load = known.load,
+            .configuration = known.configuration};
 }
 
-/// Callers are given nodes near them, so a node needs the loads of its own zone most.
-std::vector<load_sample> choose_samples(const gossip_sources& from, const member* to,
+/// Prefers nodes in the receiver's zone: callers are directed to nodes near them, so a node mostly
+/// needs the loads of its own zone.
+std::vector<load_sample> choose_samples(const gossip_sources& sources, const member* receiver,
                                         base::time_point now)
 {
-    std::vector<const member*> near;
-    std::vector<const member*> far;
-    for (const auto& [id, each] : from.table.all())
+    std::vector<const member*> candidates;
+    std::vector<const member*> other_zones;
+    for (const auto& [id, node] : sources.table.all())
     {
-        const bool is_fresh = each.load_at && now - *each.load_at < max_sample_age;
-        if (!is_fresh || id == from.self || &each == to)
+        const bool is_fresh =
+            node.load_measured_at && now - *node.load_measured_at < max_sample_age;
+        if (!is_fresh || id == sources.self || &node == receiver)
         {
             continue;
         }
-        const bool is_near = to != nullptr && each.details.zone == to->details.zone;
-        (is_near ? near : far).push_back(&each);
+        const bool is_same_zone =
+            receiver != nullptr && node.details.zone == receiver->details.zone;
+        (is_same_zone ? candidates : other_zones).push_back(&node);
     }
-    shuffle(near, from.random);
-    shuffle(far, from.random);
-    near.insert(near.end(), far.begin(), far.end());
+    shuffle(candidates, sources.random);
+    shuffle(other_zones, sources.random);
+    candidates.insert(candidates.end(), other_zones.begin(), other_zones.end());
     std::vector<load_sample> samples;
-    for (std::size_t i = 0; i < std::min(near.size(), from.max_samples); ++i)
+    for (std::size_t i = 0; i < std::min(candidates.size(), sources.max_samples); ++i)
     {
-        samples.push_back(sample_of(*near[i], now));
+        samples.push_back(make_sample(*candidates[i], now));
     }
     return samples;
 }
@@ -62,49 +66,51 @@
 
 }  // namespace
 
-gossip write_gossip(const gossip_sources& from, const base::node_id& to, base::time_point now)
+gossip write_gossip(const gossip_sources& sources, const base::node_id& receiver_id,
+                    base::time_point now)
 {
-    gossip written;
-    const member* receiver = from.table.find(to);
-    const member* self = from.table.find(from.self);
-    written.load = self->load;
-    written.configuration = from.configuration.own();
-    written.newest = from.configuration.newest();
-    written.view = from.table.view_hash();
+    gossip result;
+    const member* receiver = sources.table.find(receiver_id);
+    const member* self = sources.table.find(sources.self);
+    result.load = self->load;
+    result.configuration = sources.configuration.own();
+    result.newest = sources.configuration.newest();
+    result.view = sources.table.view_hash();
 
     if (receiver != nullptr && receiver->judged != verdict::none)
     {
-        written.updates.push_back(update_of(*receiver, false));
-        written.updates.back().accuser =
-            receiver->judged == verdict::suspect ? from.self : base::node_id();
+        result.updates.push_back(update_of(*receiver, false));
+        result.updates.back().accuser =
+            receiver->judged == verdict::suspect ? sources.self : base::node_id();
     }
     if (receiver == nullptr || receiver->judged == verdict::dead)
     {
-        written.updates.push_back(update_of(*self, true));
+        result.updates.push_back(update_of(*self, true));
     }
-    std::size_t room = from.max_bytes - gossip_header_bound(written.newest);
-    const auto take = [&room](std::size_t bytes)
+    std::size_t remaining = sources.max_bytes - gossip_header_bound(result.newest);
+    const auto reserve = [&remaining](std::size_t bytes)
     {
-        room -= std::min(room, bytes);
+        remaining -= std::min(remaining, bytes);
         return bytes;
     };
-    take(total_bound(written.updates));
-    written.entries = from.entries.digest(std::min(room, from.max_entry_bytes), now);
-    take(written.entries.size() * from.entries.bytes_per_entry());
-    for (auto& update : from.updates.take(std::min(room, from.budget.left(now)), from.retransmits))
+    reserve(total_bound(result.updates));
+    result.entries = sources.entries.next_batch(std::min(remaining, sources.max_entry_bytes), now);
+    reserve(result.entries.size() * sources.entries.bytes_per_entry());
+    for (auto& update : sources.updates.take(std::min(remaining, sources.budget.available(now)),
+                                             sources.retransmit_limit))
     {
-        from.budget.spend(take(size_bound(update)));
-        written.updates.push_back(std::move(update));
+        sources.budget.spend(reserve(size_bound(update)));
+        result.updates.push_back(std::move(update));
     }
-    for (const auto& sample : choose_samples(from, receiver, now))
+    for (const auto& sample : choose_samples(sources, receiver, now))
     {
-        if (size_bound(sample) <= room)
+        if (size_bound(sample) <= remaining)
         {
-            take(size_bound(sample));
-            written.samples.push_back(sample);
+            reserve(size_bound(sample));
+            result.samples.push_back(sample);
         }
     }
-    return written;
+    return result;
 }
 
 }  // namespace caraway::membership
--- a/src/libcaraway/membership/gossip_writer.hpp
+++ b/src/libcaraway/membership/gossip_writer.hpp
@@ -13,7 +13,7 @@
 namespace caraway::membership
 {
 
-/// What gossip is made of, and how much of it goes into one message.
+/// The data that a gossip message is composed of, and the limits of one message.
 struct gossip_sources
 {
     base::node_id self;
@@ -21,19 +21,21 @@
     const configuration_watch& configuration;
     update_queue& updates;
     expiring_set& entries;
-    /// Pays for updates; the rest is of constant size.
+    /// Limits the bytes of updates; the size of all other parts is bounded.
     byte_budget& budget;
     const random_source& random;
     std::size_t max_bytes = 0;
     std::size_t max_samples = 0;
     std::size_t max_entry_bytes = 0;
-    /// How often each update is sent before it is done.
-    std::size_t retransmits = 0;
+    /// Number of times that an update is sent before it is removed from the queue.
+    std::size_t retransmit_limit = 0;
 };
 
-/// The gossip for one peer, empty id if it isn't known yet. A peer that is judged dead or suspect
-/// is told so first of all, since only it can refute; a stranger is told who this is, and so is a
-/// lost node, which may have forgotten.
-gossip write_gossip(const gossip_sources& from, const base::node_id& to, base::time_point now);
+/// Composes the gossip for one peer; `receiver_id` is empty while the peer is unknown. A peer
+/// judged dead or suspect gets that verdict first, since only the peer itself can refute the
+/// verdict. A peer that is unknown or judged dead also gets the details of this node, since a dead
+/// peer may have discarded them.
+gossip write_gossip(const gossip_sources& sources, const base::node_id& receiver_id,
+                    base::time_point now);
 
 }  // namespace caraway::membership
--- a/src/libcaraway/membership/member.hpp
+++ b/src/libcaraway/membership/member.hpp
@@ -8,7 +8,8 @@
 namespace caraway::membership
 {
 
-/// A node as one node sees it: what it announced, unless others judge it otherwise.
+/// The state of a member as one node sees it: the state that the member announced, unless other
+/// nodes suspect it or declared it dead.
 enum class member_state
 {
     joining,
@@ -19,10 +20,10 @@
     left,
 };
 
-/// The stable name of a state, as in "leaving".
+/// The name of a state in logs and the state dump, such as "leaving".
 const char* name(member_state state);
 
-/// All that this node knows of one node, itself included.
+/// All that this node knows of one member; also used for this node itself.
 struct member
 {
     base::node_ref node{};
@@ -31,18 +32,20 @@
     verdict judged = verdict::none;
     member_details details{};
 
-    /// In force there, as far as known here; the hash is empty while unknown.
+    /// Last known version in force on the member; the hash is empty while unknown.
     base::config_version configuration{};
     config::sha256_hex configuration_hash{};
 
     load_digest load{};
-    /// When `load` was true; none before the first news. The reader decides what is too old.
-    std::optional<base::time_point> load_at{};
-    /// When `announced` or `judged` last changed here.
+    /// When `load` was measured; none until a load has been received. The reader decides from which
+    /// age on a load is stale.
+    std::optional<base::time_point> load_measured_at{};
+    /// When this node last changed `announced` or `judged`.
     base::time_point changed_at{};
 
     member_state state() const;
-    /// Takes part in traffic and ownership. A suspect does: most suspicions are refuted.
+    /// Whether the member takes part in traffic and ownership. A suspect does, since most
+    /// suspicions are refuted.
     bool takes_part() const
     {
         return announced == announced_state::alive && judged != verdict::dead;
--- a/src/libcaraway/membership/member_table.cpp
+++ b/src/libcaraway/membership/member_table.cpp
@@ -11,9 +11,9 @@
 namespace
 {
 
-bool is_gone(const member& of)
+bool is_gone(const member& known)
 {
-    return of.announced == announced_state::left || of.judged == verdict::dead;
+    return known.announced == announced_state::left || known.judged == verdict::dead;
 }
 
 bool is_gone(const member_update& update)
@@ -32,41 +32,41 @@
     return hash;
 }
 
-std::uint64_t hash_of(const base::node_id& id)
+std::uint64_t id_hash(const base::node_id& id)
 {
     std::uint64_t hash = 14695981039346656037ULL;
-    for (const char letter : id.str())
+    for (const char character : id.str())
     {
-        hash = fnv_1a(hash, static_cast<unsigned char>(letter));
+        hash = fnv_1a(hash, static_cast<unsigned char>(character));
     }
     return hash;
 }
 
-std::size_t bucket_of(const base::node_id& id)
+std::size_t bucket_index(const base::node_id& id)
 {
-    return hash_of(id) % std::tuple_size_v<view_digest>;
+    return id_hash(id) % std::tuple_size_v<view_digest>;
 }
 
-std::uint32_t state_hash(const member& of)
+std::uint32_t state_hash(const member& known)
 {
-    const auto life = static_cast<std::uint64_t>(of.node.life);
-    const auto hash = fnv_1a(fnv_1a(hash_of(of.node.id), life), of.refutations);
+    const auto incarnation = static_cast<std::uint64_t>(known.node.life);
+    const auto hash = fnv_1a(fnv_1a(id_hash(known.node.id), incarnation), known.refutations);
     return static_cast<std::uint32_t>(hash >> 32);
 }
 
 }  // namespace
 
-member_update update_of(const member& of, bool with_details)
+member_update update_of(const member& known, bool with_details)
 {
-    member_update update{.node = of.node,
-                         .refutations = of.refutations,
-                         .announced = of.announced,
-                         .judged = of.judged,
+    member_update update{.node = known.node,
+                         .refutations = known.refutations,
+                         .announced = known.announced,
+                         .judged = known.judged,
                          .accuser = {},
                          .details = {}};
     if (with_details)
     {
-        update.details = of.details;
+        update.details = known.details;
     }
     return update;
 }
@@ -74,8 +74,8 @@
 member_table::merged member_table::merge(const member_update& update, base::time_point now)
 {
     member* known = find(update.node.id);
-    const bool is_new_life = known == nullptr || update.node.life > known->node.life;
-    if (is_new_life && (!update.details || (known == nullptr && is_gone(update))))
+    const bool is_new_incarnation = known == nullptr || update.node.life > known->node.life;
+    if (is_new_incarnation && (!update.details || (known == nullptr && is_gone(update))))
     {
         return {};
     }
@@ -83,21 +83,21 @@
     {
         return {};
     }
-    merged result{.is_news = true, .is_new_life = is_new_life, .former = {}};
+    merged result{.is_applied = true, .is_new_incarnation = is_new_incarnation, .former = {}};
     if (known != nullptr)
     {
         result.former = known->state();
     }
-    if (is_new_life)
+    if (is_new_incarnation)
     {
         insert({.node = update.node, .details = *update.details});
         known = find(update.node.id);
     }
-    take_out_of_view(*known);
+    remove_from_view(*known);
     known->refutations = update.refutations;
     known->announced = update.announced;
     known->judged = update.judged;
-    put_into_view(*known);
+    add_to_view(*known);
     if (result.former != known->state())
     {
         known->changed_at = now;
@@ -121,37 +121,37 @@
 {
     if (const member* former = find(added.node.id))
     {
-        take_out_of_view(*former);
+        remove_from_view(*former);
     }
-    put_into_view(added);
+    add_to_view(added);
     auto id = added.node.id;
     members_.insert_or_assign(std::move(id), std::move(added));
 }
 
-void member_table::take_out_of_view(const member& of)
+void member_table::remove_from_view(const member& known)
 {
-    if (!is_gone(of))
+    if (!is_gone(known))
     {
         --live_count_;
-        view_[bucket_of(of.node.id)] ^= state_hash(of);
+        view_[bucket_index(known.node.id)] ^= state_hash(known);
     }
 }
 
-void member_table::put_into_view(const member& of)
+void member_table::add_to_view(const member& known)
 {
-    if (!is_gone(of))
+    if (!is_gone(known))
     {
         ++live_count_;
-        view_[bucket_of(of.node.id)] ^= state_hash(of);
+        view_[bucket_index(known.node.id)] ^= state_hash(known);
     }
 }
 
 std::vector<base::node_id> member_table::live(const base::node_id& except) const
 {
     std::vector<base::node_id> ids;
-    for (const auto& [id, each] : members_)
+    for (const auto& [id, node] : members_)
     {
-        if (!is_gone(each) && id != except)
+        if (!is_gone(node) && id != except)
         {
             ids.push_back(id);
         }
@@ -169,19 +169,20 @@
     return static_cast<std::uint32_t>(hash >> 32);
 }
 
-sync_reply member_table::page(const base::node_id& after, const view_digest& theirs,
-                              std::size_t max_bytes) const
+sync_reply member_table::sync_page(const base::node_id& after, const view_digest& peer_view,
+                                   std::size_t max_bytes) const
 {
     sync_reply reply;
     for (auto next = members_.upper_bound(after); next != members_.end(); ++next)
     {
-        const auto bucket = bucket_of(next->first);
-        if (theirs[bucket] == view_[bucket])
+        const auto bucket = bucket_index(next->first);
+        if (peer_view[bucket] == view_[bucket])
         {
             continue;
         }
         reply.members.push_back(update_of(next->second, true));
-        // A page holds at least one member, or the asker would never get past it.
+        // A page holds at least one member; otherwise the requester could never get past a member
+        // that exceeds the limit.
         if (reply.members.size() > 1 && size_bound(reply) > max_bytes)
         {
             reply.members.pop_back();
@@ -192,10 +193,10 @@
     return reply;
 }
 
-void member_table::forget_gone(base::time_point since)
+void member_table::remove_expired(base::time_point cutoff)
 {
-    std::erase_if(members_, [since](const auto& item)
-                  { return is_gone(item.second) && item.second.changed_at < since; });
+    std::erase_if(members_, [cutoff](const auto& item)
+                  { return is_gone(item.second) && item.second.changed_at < cutoff; });
 }
 
 }  // namespace caraway::membership
--- a/src/libcaraway/membership/member_table.hpp
+++ b/src/libcaraway/membership/member_table.hpp
@@ -13,24 +13,25 @@
 namespace caraway::membership
 {
 
-/// What a member tells others of itself or another.
-member_update update_of(const member& of, bool with_details);
+/// Makes an update with the state of a member, for sending to peers.
+member_update update_of(const member& known, bool with_details);
 
-/// The nodes known, and the rule by which news of them is merged.
+/// The known members, with the rule by which updates are merged.
 class member_table
 {
 public:
     struct merged
     {
-        /// Whether the update replaced what was known.
-        bool is_news = false;
-        bool is_new_life = false;
-        /// None if the node was unknown.
+        /// Whether the update superseded the known state.
+        bool is_applied = false;
+        bool is_new_incarnation = false;
+        /// None if the member was unknown.
         std::optional<member_state> former;
     };
 
-    /// Merges by member_update's order. A life that is unknown here needs its details, and the dead
-    /// are not met for the first time: else they would be passed round for ever.
+    /// Merges by the order of member_update. An update with an unknown incarnation is ignored
+    /// unless it includes the details. An unknown node that is dead or left is not added; otherwise
+    /// peers would keep passing its record around for ever.
     merged merge(const member_update& update, base::time_point now);
 
     const std::map<base::node_id, member>& all() const
@@ -38,34 +39,36 @@
         return members_;
     }
     const member* find(const base::node_id& id) const;
-    /// For the parts of a record that are not merged: load and configuration.
+    /// For changes to the fields that are not merged: load and configuration.
     member* find(const base::node_id& id);
-    /// Puts a record in place of the former one.
+    /// Inserts a record or replaces the existing one with the same id.
     void insert(member added);
 
-    /// Neither dead nor left, `except` left out.
+    /// Ids of the members that are neither dead nor left, without `except`.
     std::vector<base::node_id> live(const base::node_id& except) const;
     std::size_t live_count() const
     {
         return live_count_;
     }
-    /// Of those who are neither dead nor left.
+    /// Digest of the members that are neither dead nor left.
     const view_digest& view() const
     {
         return view_;
     }
-    /// The view as one number.
+    /// Hash of the digest returned by view().
     std::uint32_t view_hash() const;
-    /// The members after `after` in those buckets where `theirs` differs, as many as fit.
-    sync_reply page(const base::node_id& after, const view_digest& theirs,
-                    std::size_t max_bytes) const;
-    /// Drops those who are dead or left since before `since`.
-    void forget_gone(base::time_point since);
+    /// The members with ids after `after` in the buckets where `peer_view` differs from view(),
+    /// limited to `max_bytes` unless a single member exceeds that.
+    sync_reply sync_page(const base::node_id& after, const view_digest& peer_view,
+                         std::size_t max_bytes) const;
+    /// Removes members that are dead or left and last changed before `cutoff`.
+    void remove_expired(base::time_point cutoff);
 
 private:
-    /// Each change of a record is put between these two.
-    void take_out_of_view(const member& of);
-    void put_into_view(const member& of);
+    /// Every change of a record is enclosed in a call of remove_from_view() before and of
+    /// add_to_view() after the change, to keep the digest and the count up to date.
+    void remove_from_view(const member& known);
+    void add_to_view(const member& known);
 
     std::map<base::node_id, member> members_;
     std::size_t live_count_ = 0;
--- a/src/libcaraway/membership/membership.cpp
+++ b/src/libcaraway/membership/membership.cpp
@@ -11,8 +11,8 @@
 namespace
 {
 
-/// Members that are told directly of the end of this process.
-constexpr std::size_t max_farewells = 8;
+/// Number of members that are notified directly when this process ends.
+constexpr std::size_t max_leave_notices = 8;
 
 void keep_earlier(base::time_point& earliest, const std::optional<base::time_point>& other)
 {
@@ -27,56 +27,57 @@
 membership::membership(options options, base::node_ref self, member_details details,
                        base::time_point now)
     : options_(std::move(options)), self_(std::move(self)), entries_(options_.entries),
-      order_(options_.random),
-      probes_({.direct = options_.direct_timeout, .whole = options_.probe_timeout}),
-      configuration_(self_.id), update_budget_(options_.bytes_a_second, options_.burst_bytes, now),
-      list_budget_(options_.bytes_a_second, options_.burst_bytes, now), next_probe_(now),
+      probe_order_(options_.random),
+      probes_({.direct = options_.direct_timeout, .total = options_.probe_timeout}),
+      configuration_(self_.id), update_budget_(options_.bytes_per_s, options_.burst_bytes, now),
+      list_budget_(options_.bytes_per_s, options_.burst_bytes, now), next_probe_(now),
       next_push_(now), next_rejoin_(now), next_sync_(now + options_.mismatch_sync_interval),
-      expected_(now)
+      expected_call_(now)
 {
     table_.insert(
-        {.node = self_, .details = std::move(details), .load_at = now, .changed_at = now});
+        {.node = self_, .details = std::move(details), .load_measured_at = now, .changed_at = now});
     announce(announced_state::joining, 0, now);
 }
 
-void membership::receive(const endpoint& source, const base::node_ref& from,
+void membership::receive(const endpoint& source, const base::node_ref& sender,
                          const message& received, base::time_point now)
 {
-    absorb_stall(now);
-    const member* known = table_.find(from.id);
-    if (from.id == self_.id)
+    compensate_for_stall(now);
+    const member* known = table_.find(sender.id);
+    if (sender.id == self_.id)
     {
-        note_newer_life(from.life);
+        report_newer_incarnation(sender.life);
     }
-    else if (known != nullptr && from.life < known->node.life)
+    else if (known != nullptr && sender.life < known->node.life)
     {
-        // A process of an earlier life that still runs, or whose clock went back, learns of it.
-        transmit(source, from, gossip{.updates = {update_of(*known, true)}}, now);
+        // The sender is a process of an earlier incarnation that still runs, or its clock was set
+        // back; it is sent the newer incarnation.
+        transmit(source, sender, gossip{.updates = {update_of(*known, true)}}, now);
     }
     else
     {
-        std::visit([&](const auto& each) { handle(source, from, each, now); }, received);
+        std::visit([&](const auto& content) { handle(source, sender, content, now); }, received);
     }
-    expect_call(now);
+    update_expected_call(now);
 }
 
 void membership::tick(base::time_point now)
 {
-    absorb_stall(now);
+    compensate_for_stall(now);
     probe_next(now);
-    follow_probes(now);
-    bury(now);
+    advance_probes(now);
+    expire_suspicions(now);
     rejoin(now);
     sync(now);
     push(now);
-    remind(now);
-    expect_call(now);
+    report_newer_configuration(now);
+    update_expected_call(now);
 }
 
 base::time_point membership::next_wakeup() const
 {
     base::time_point next = std::min({next_probe_, next_rejoin_, next_sync_});
-    if (push_rounds_ > 0 || !push_to_.empty())
+    if (push_rounds_ > 0 || !push_targets_.empty())
     {
         next = std::min(next, next_push_);
     }
@@ -115,11 +116,11 @@
         return;
     }
     announce(announced_state::left, 0, now);
-    // No time is left for rounds of gossip.
+    // The process ends too soon for rounds of gossip.
     auto peers = table_.live(self_.id);
     shuffle(peers, options_.random);
-    peers.resize(std::min(peers.size(), max_farewells));
-    push_to_.insert(peers.begin(), peers.end());
+    peers.resize(std::min(peers.size(), max_leave_notices));
+    push_targets_.insert(peers.begin(), peers.end());
     next_push_ = now;
     push(now);
 }
@@ -128,7 +129,7 @@
 {
     member& own = *table_.find(self_.id);
     own.load = load;
-    own.load_at = now;
+    own.load_measured_at = now;
 }
 
 void membership::set_own_configuration(base::config_version version, const config::sha256_hex& hash,
@@ -136,7 +137,7 @@
 {
     if (configuration_.set_own(version, hash))
     {
-        tell_soon(now);
+        schedule_push(now);
     }
     member& own = *table_.find(self_.id);
     if (version > own.configuration)
@@ -151,152 +152,154 @@
     options_.seeds = std::move(seeds);
 }
 
-std::uint32_t membership::count_up(std::uint64_t fingerprint, std::chrono::milliseconds ttl,
-                                   base::time_point now)
+std::uint32_t membership::increment(std::uint64_t fingerprint, std::chrono::milliseconds ttl,
+                                    base::time_point now)
 {
-    tell_soon(now);
-    return entries_.count_up(fingerprint, ttl, now);
+    schedule_push(now);
+    return entries_.increment(fingerprint, ttl, now);
 }
 
 std::vector<member> membership::alive() const
 {
     std::vector<member> all;
-    for (const auto& [id, each] : table_.all())
+    for (const auto& [id, node] : table_.all())
     {
-        if (each.takes_part())
+        if (node.takes_part())
         {
-            all.push_back(each);
+            all.push_back(node);
         }
     }
     return all;
 }
 
-void membership::handle(const endpoint& source, const base::node_ref& from, const probe& received,
+void membership::handle(const endpoint& source, const base::node_ref& sender, const probe& received,
                         base::time_point now)
 {
-    transmit(address_of(from, source), from, probe_ack{.sequence = received.sequence}, now);
+    transmit(address_of(sender, source), sender, probe_ack{.sequence = received.sequence}, now);
 }
 
 void membership::handle(const endpoint&, const base::node_ref&, const probe_ack& received,
                         base::time_point now)
 {
-    if (const auto asked = probes_.acknowledge(received.sequence))
+    if (const auto origin = probes_.acknowledge(received.sequence))
     {
-        transmit(asked->address, asked->node, probe_ack{.sequence = asked->sequence}, now);
+        transmit(origin->address, origin->node, probe_ack{.sequence = origin->sequence}, now);
     }
 }
 
-void membership::handle(const endpoint&, const base::node_ref& from, const probe_nack& received,
+void membership::handle(const endpoint&, const base::node_ref& sender, const probe_nack& received,
                         base::time_point)
 {
-    probes_.note_nack(received.sequence, from.id);
+    probes_.record_nack(received.sequence, sender.id);
 }
 
-void membership::handle(const endpoint& source, const base::node_ref& from,
+void membership::handle(const endpoint& source, const base::node_ref& sender,
                         const probe_request& received, base::time_point now)
 {
-    const auto sequence = probes_.start_for(
-        {.node = from, .address = address_of(from, source), .sequence = received.sequence}, now);
+    const auto sequence = probes_.start_relayed(
+        {.node = sender, .address = address_of(sender, source), .sequence = received.sequence},
+        now);
     transmit(received.address, received.target, probe{.sequence = sequence}, now);
 }
 
-void membership::handle(const endpoint& source, const base::node_ref& from,
+void membership::handle(const endpoint& source, const base::node_ref& sender,
                         const sync_request& received, base::time_point now)
 {
-    if (list_budget_.left(now) < options_.max_bytes)
+    if (list_budget_.available(now) < options_.max_bytes)
     {
-        // The asker asks again.
+        // Over budget: the requester repeats the request.
         return;
     }
-    auto reply = table_.page(received.after, received.view, options_.max_bytes);
+    auto reply = table_.sync_page(received.after, received.view, options_.max_bytes);
     list_budget_.spend(size_bound(reply));
-    // Alone: a page and gossip together would not fit.
-    actions_.emplace_back(send{address_of(from, source), from, {std::move(reply)}});
+    // Sent alone, since a page and gossip together would exceed the limit.
+    actions_.emplace_back(send{address_of(sender, source), sender, {std::move(reply)}});
 }
 
-void membership::handle(const endpoint& source, const base::node_ref& from,
+void membership::handle(const endpoint& source, const base::node_ref& sender,
                         const sync_reply& received, base::time_point now)
 {
     for (const auto& update : received.members)
     {
-        take_update(update, true, now);
+        receive_update(update, true, now);
     }
-    sync_.page_came(source, from, received.next_after, now);
+    sync_.record_page(source, sender, received.next_after, now);
 }
 
-void membership::handle(const endpoint& source, const base::node_ref& from, const gossip& received,
-                        base::time_point now)
+void membership::handle(const endpoint& source, const base::node_ref& sender,
+                        const gossip& received, base::time_point now)
 {
     for (const auto& update : received.updates)
     {
-        updates_.heard(update);
-        take_update(update, false, now);
+        updates_.record_received(update);
+        receive_update(update, false, now);
     }
     if (entries_.merge(received.entries, now))
     {
-        tell_soon(now);
+        schedule_push(now);
     }
-    const member* sender = table_.find(from.id);
-    if (sender == nullptr || sender->node.life < from.life)
+    const member* known_sender = table_.find(sender.id);
+    if (known_sender == nullptr || known_sender->node.life < sender.life)
     {
-        sync_.begin(source, from, now);
+        sync_.start(source, sender, now);
         return;
     }
-    if (sender->judged != verdict::none)
+    if (known_sender->judged != verdict::none)
     {
-        push_to_.insert(from.id);
+        push_targets_.insert(sender.id);
     }
-    take_status(from, received, now);
+    record_status(sender, received, now);
 }
 
-void membership::take_status(const base::node_ref& from, const gossip& received,
-                             base::time_point now)
+void membership::record_status(const base::node_ref& sender, const gossip& received,
+                               base::time_point now)
 {
-    member& sender = *table_.find(from.id);
-    sender.load = received.load;
-    sender.load_at = now;
-    sender.configuration = received.configuration;
+    member& known_sender = *table_.find(sender.id);
+    known_sender.load = received.load;
+    known_sender.load_measured_at = now;
+    known_sender.configuration = received.configuration;
     if (received.view != table_.view_hash())
     {
         next_sync_ =
             std::min(next_sync_, now + jittered(options_.mismatch_sync_interval, options_.random));
     }
-    if (configuration_.hear(received.newest, received.configuration, from.id, now))
+    if (configuration_.record_peer(received.newest, received.configuration, sender.id, now))
     {
-        tell_soon(now);
+        schedule_push(now);
     }
-    if (sender.configuration == configuration_.newest().version)
+    if (known_sender.configuration == configuration_.newest().version)
     {
-        sender.configuration_hash = configuration_.newest().hash;
+        known_sender.configuration_hash = configuration_.newest().hash;
     }
     for (const auto& sample : received.samples)
     {
-        take_sample(sample, now);
+        record_sample(sample, now);
     }
 }
 
-void membership::take_sample(const load_sample& sample, base::time_point now)
+void membership::record_sample(const load_sample& sample, base::time_point now)
 {
-    member* of = table_.find(sample.node);
-    const auto at = now - std::chrono::milliseconds(sample.age_ms);
-    if (of == nullptr || sample.node == self_.id || (of->load_at && *of->load_at >= at))
+    member* node = table_.find(sample.node);
+    const auto measured_at = now - std::chrono::milliseconds(sample.age_ms);
+    if (node == nullptr || sample.node == self_.id ||
+        (node->load_measured_at && *node->load_measured_at >= measured_at))
     {
         return;
     }
-    of->load = sample.load;
-    of->load_at = at;
-    of->configuration = std::max(of->configuration, sample.configuration);
-    if (of->configuration == configuration_.newest().version)
+    node->load = sample.load;
+    node->load_measured_at = measured_at;
+    node->configuration = std::max(node->configuration, sample.configuration);
+    if (node->configuration == configuration_.newest().version)
     {
-        of->configuration_hash = configuration_.newest().hash;
+        node->configuration_hash = configuration_.newest().hash;
     }
 }
 
-void membership::take_update(member_update update, bool is_sync, base::time_point now)
+void membership::receive_update(member_update update, bool is_sync, base::time_point now)
 {
     if (update.node.id == self_.id)
     {
-        defend(update, now);
+        refute(update, now);
         return;
     }
     const member* known = table_.find(update.node.id);
@@ -309,23 +312,23 @@
                                  known->judged == verdict::suspect;
     if (update.judged == verdict::dead && !is_suspect_here)
     {
-        // After a partition each side tells the other that it is dead. Were that believed, all
-        // nodes of both sides would be dead for a moment. So a death that comes without its
-        // suspicion is only a reason to look for oneself; that there was such a state of the node
-        // is believed.
+        // After a partition each side reports the nodes of the other as dead. If these reports were
+        // accepted, all nodes of both sides would be dead for a moment. So a death without a
+        // preceding suspicion here only triggers a probe by this node; the rest of the reported
+        // state (incarnation, refutations, announced state) is accepted.
         update.judged = verdict::none;
         if (known->judged == verdict::none && !supersedes(update_of(*known, false), update))
         {
-            order_.prefer(update.node.id);
+            probe_order_.prioritize(update.node.id);
         }
     }
     if (update.judged == verdict::suspect && is_suspect_here)
     {
         const suspicion_key key{.node = update.node, .refutations = update.refutations};
-        if (suspicions_.suspect(key, update.accuser, suspicion_span(), now))
+        if (suspicions_.record_accuser(key, update.accuser, suspicion_timeouts(), now))
         {
             updates_.put(update);
-            tell_soon(now);
+            schedule_push(now);
         }
         return;
     }
@@ -335,7 +338,7 @@
 void membership::apply(const member_update& update, bool is_sync, base::time_point now)
 {
     const auto merged = table_.merge(update, now);
-    if (!merged.is_news)
+    if (!merged.is_applied)
     {
         return;
     }
@@ -343,26 +346,28 @@
     suspicions_.clear(update.node.id);
     if (update.judged == verdict::suspect)
     {
-        suspicions_.suspect({.node = update.node, .refutations = update.refutations},
-                            update.accuser, suspicion_span(), now);
-        push_to_.insert(update.node.id);
-        if (table_.live_count() <= options_.small_fleet)
+        suspicions_.record_accuser({.node = update.node, .refutations = update.refutations},
+                                   update.accuser, suspicion_timeouts(), now);
+        push_targets_.insert(update.node.id);
+        if (table_.live_count() <= options_.small_fleet_size)
         {
-            // A second opinion. A large fleet has enough of them, and all at once would be a burst.
-            order_.prefer(update.node.id);
+            // Probes the suspect next, for a second opinion. A large fleet has enough accusers, and
+            // simultaneous probes by all nodes would be a burst.
+            probe_order_.prioritize(update.node.id);
         }
     }
     if (!merged.former)
     {
-        order_.add(update.node.id);
+        probe_order_.add(update.node.id);
     }
-    // Whoever is met in a peer's list is known to the rest of the fleet as well.
+    // A node discovered in a peer's member list is known to the rest of the fleet as well, so it is
+    // not passed on.
     if (merged.former || !is_sync)
     {
         updates_.put(update);
-        tell_soon(now);
+        schedule_push(now);
     }
-    if (merged.is_new_life || merged.former != current.state())
+    if (merged.is_new_incarnation || merged.former != current.state())
     {
         actions_.emplace_back(member_changed{.current = current, .former = merged.former});
     }
--- a/src/libcaraway/membership/membership_timers.cpp
+++ b/src/libcaraway/membership/membership_timers.cpp
@@ -1,4 +1,4 @@
-// The part of membership that time drives: probes, suspicion, pushes, rejoining.
+// The parts of membership that are driven by time: probes, suspicions, pushes and rejoining.
 #include "libcaraway/membership/gossip_writer.hpp"
 #include "libcaraway/membership/membership.hpp"
 #include "libcaraway/membership/message_size.hpp"
@@ -14,23 +14,24 @@
 namespace
 {
 
-/// Pushes after news; with the fan-out, each round about triples those who know.
-constexpr int push_rounds_after_news = 3;
-/// A call that comes later than this says that this process stood still, not that its peers did.
+/// Push rounds after an update; with the fan-out, each round about triples the number of nodes that
+/// know the update.
+constexpr int push_rounds_per_update = 3;
+/// A call later than expected by more than this shows that this process was stalled, not its peers.
 constexpr auto stall_threshold = std::chrono::milliseconds(200);
-/// Accusers besides the first that make a suspicion as short as it gets.
-constexpr std::size_t enough_accusers = 2;
-constexpr int longest_suspicion_factor = 3;
-/// What a joining node asks at a time; one of them may be gone.
-constexpr std::size_t seeds_at_a_time = 3;
+/// Number of accusers, besides the first one, that reduce a suspicion to its minimum timeout.
+constexpr std::size_t max_confirmations = 2;
+constexpr int max_suspicion_factor = 3;
+/// Number of seeds that a joining node contacts at a time; one of the seeds may be gone.
+constexpr std::size_t seeds_per_attempt = 3;
 
 }  // namespace
 
-void membership::defend(const member_update& claim, base::time_point now)
+void membership::refute(const member_update& claim, base::time_point now)
 {
     if (claim.node.life != self_.life)
     {
-        note_newer_life(claim.node.life);
+        report_newer_incarnation(claim.node.life);
         return;
     }
     const member& own = *table_.find(self_.id);
@@ -42,29 +43,29 @@
     announce(own.announced, claim.refutations, now);
 }
 
-void membership::note_newer_life(base::incarnation life)
+void membership::report_newer_incarnation(base::incarnation incarnation)
 {
-    if (life > self_.life && life > newest_life_said_)
+    if (incarnation > self_.life && incarnation > newest_incarnation_reported_)
     {
-        newest_life_said_ = life;
-        actions_.emplace_back(newer_incarnation_seen{.incarnation = life});
+        newest_incarnation_reported_ = incarnation;
+        actions_.emplace_back(newer_incarnation_seen{.incarnation = incarnation});
     }
 }
 
-void membership::announce(announced_state state, std::uint32_t above, base::time_point now)
+void membership::announce(announced_state state, std::uint32_t superseded, base::time_point now)
 {
     const auto former = table_.find(self_.id)->announced;
     auto update = update_of(*table_.find(self_.id), true);
-    update.refutations = std::max(update.refutations, above) + 1;
+    update.refutations = std::max(update.refutations, superseded) + 1;
     update.announced = state;
     table_.merge(update, now);
-    if (former == state && above > 0)
+    if (former == state && superseded > 0)
     {
-        // A refutation goes to those who know this life already.
+        // A refutation goes to nodes that already know the details of this incarnation.
         update.details.reset();
     }
     updates_.put(std::move(update));
-    tell_soon(now);
+    schedule_push(now);
     if (former != state)
     {
         const member& own = *table_.find(self_.id);
@@ -73,8 +74,8 @@
     }
 }
 
-void membership::accuse(const base::node_ref& target, const base::node_id& accuser,
-                        base::time_point now)
+void membership::raise_suspicion(const base::node_ref& target, const base::node_id& accuser,
+                                 base::time_point now)
 {
     const member* known = table_.find(target.id);
     if (known == nullptr || known->node != target || known->judged == verdict::dead ||
@@ -85,13 +86,13 @@
     auto update = update_of(*known, false);
     update.judged = verdict::suspect;
     update.accuser = accuser;
-    take_update(std::move(update), false, now);
-    push_to_.insert(target.id);
+    receive_update(std::move(update), false, now);
+    push_targets_.insert(target.id);
 }
 
-void membership::tell_soon(base::time_point now)
+void membership::schedule_push(base::time_point now)
 {
-    push_rounds_ = push_rounds_after_news;
+    push_rounds_ = push_rounds_per_update;
     next_push_ = std::max(next_push_, now);
 }
 
@@ -101,14 +102,14 @@
     {
         return;
     }
-    next_probe_ = now + probe_period();
+    next_probe_ = now + current_probe_period();
     const auto eligible = [this](const base::node_id& id)
     {
-        const member* each = table_.find(id);
-        return each != nullptr && id != self_.id && each->judged != verdict::dead &&
-               each->announced != announced_state::left;
+        const member* candidate = table_.find(id);
+        return candidate != nullptr && id != self_.id && candidate->judged != verdict::dead &&
+               candidate->announced != announced_state::left;
     };
-    if (const auto id = order_.next([this] { return table_.live(self_.id); }, eligible))
+    if (const auto id = probe_order_.next([this] { return table_.live(self_.id); }, eligible))
     {
         const member& target = *table_.find(*id);
         const auto sequence = probes_.start(target.node, now);
@@ -116,7 +117,7 @@
     }
 }
 
-void membership::follow_probes(base::time_point now)
+void membership::advance_probes(base::time_point now)
 {
     for (const auto& overdue : probes_.take_overdue(now))
     {
@@ -140,19 +141,19 @@
     }
     for (const auto& failed : probes_.take_failed(now))
     {
-        accuse(failed.target, self_.id, now);
+        raise_suspicion(failed.target, self_.id, now);
         for (const auto& accuser : failed.nacks)
         {
-            accuse(failed.target, accuser, now);
+            raise_suspicion(failed.target, accuser, now);
         }
     }
-    for (const auto& asked : probes_.take_failed_for_others(now))
+    for (const auto& origin : probes_.take_failed_relayed(now))
     {
-        transmit(asked.address, asked.node, probe_nack{.sequence = asked.sequence}, now);
+        transmit(origin.address, origin.node, probe_nack{.sequence = origin.sequence}, now);
     }
 }
 
-void membership::bury(base::time_point now)
+void membership::expire_suspicions(base::time_point now)
 {
     for (const auto& key : suspicions_.take_expired(now))
     {
@@ -165,16 +166,16 @@
 
 void membership::push(base::time_point now)
 {
-    if (now < next_push_ || (push_rounds_ == 0 && push_to_.empty()))
+    if (now < next_push_ || (push_rounds_ == 0 && push_targets_.empty()))
     {
         return;
     }
     next_push_ = now + options_.push_interval;
-    if (update_budget_.left(now) < options_.max_bytes)
+    if (update_budget_.available(now) < options_.max_bytes)
     {
         return;
     }
-    auto targets = std::exchange(push_to_, {});
+    auto targets = std::exchange(push_targets_, {});
     if (push_rounds_ > 0)
     {
         --push_rounds_;
@@ -192,35 +193,35 @@
     }
 }
 
-struct membership::lost_node
+struct membership::rejoin_target
 {
     endpoint address;
-    /// Any life: it may be back. Empty for a seed.
+    /// The incarnation is left open, since the node may have restarted. Empty for a seed.
     base::node_ref node;
 };
 
-std::vector<membership::lost_node> membership::lost_nodes() const
+std::vector<membership::rejoin_target> membership::rejoin_targets() const
 {
-    std::map<endpoint, base::node_ref> lost;
+    std::map<endpoint, base::node_ref> targets;
     for (const auto& seed : options_.seeds)
     {
-        lost[seed] = {};
+        targets[seed] = {};
     }
-    for (const auto& [id, each] : table_.all())
+    for (const auto& [id, node] : table_.all())
     {
-        if (each.state() == member_state::dead)
+        if (node.state() == member_state::dead)
         {
-            lost[each.details.peer] = {.id = id, .life = {}};
+            targets[node.details.peer] = {.id = id, .life = {}};
         }
     }
-    // Afterwards, since a dead node's address may be in use by another by now.
+    // Removed last, since a dead node's address may be in use by another node by now.
     for (const auto& id : table_.live({}))
     {
-        lost.erase(table_.find(id)->details.peer);
+        targets.erase(table_.find(id)->details.peer);
     }
-    std::vector<lost_node> all;
-    all.reserve(lost.size());
-    for (auto& [address, node] : lost)
+    std::vector<rejoin_target> all;
+    all.reserve(targets.size());
+    for (auto& [address, node] : targets)
     {
         all.push_back({.address = address, .node = std::move(node)});
     }
@@ -234,20 +235,21 @@
         return;
     }
     const bool is_alone = table_.live_count() <= 1;
-    next_rejoin_ =
-        now + jittered(is_alone ? options_.period : options_.rejoin_interval, options_.random);
-    auto lost = lost_nodes();
-    shuffle(lost, options_.random);
-    lost.resize(std::min(lost.size(), is_alone ? seeds_at_a_time : std::size_t{1}));
-    for (const auto& each : lost)
+    next_rejoin_ = now + jittered(is_alone ? options_.probe_period : options_.rejoin_interval,
+                                  options_.random);
+    auto targets = rejoin_targets();
+    shuffle(targets, options_.random);
+    targets.resize(std::min(targets.size(), is_alone ? seeds_per_attempt : std::size_t{1}));
+    for (const auto& target : targets)
     {
-        // A lost node hears that it is taken for dead and refutes; a seed may know others.
+        // A dead node receives its verdict with the gossip and refutes it; a seed may know other
+        // nodes.
         std::optional<message> request;
-        if (each.node.id.empty() || is_alone)
+        if (target.node.id.empty() || is_alone)
         {
             request = sync_request{.after = sync_.resume_after(), .view = table_.view()};
         }
-        transmit(each.address, each.node, std::move(request), now);
+        transmit(target.address, target.node, std::move(request), now);
     }
 }
 
@@ -255,7 +257,7 @@
 {
     if (now >= next_sync_)
     {
-        table_.forget_gone(now - options_.dead_retention);
+        table_.remove_expired(now - options_.dead_retention);
         next_sync_ = now + jittered(options_.sync_interval, options_.random);
         const auto peers = table_.live(self_.id);
         if (!peers.empty())
@@ -272,7 +274,7 @@
     }
 }
 
-void membership::remind(base::time_point now)
+void membership::report_newer_configuration(base::time_point now)
 {
     if (const auto newest = configuration_.take_reminder(now))
     {
@@ -282,7 +284,7 @@
 }
 
 void membership::transmit(const endpoint& address, const base::node_ref& to,
-                          std::optional<message> with, base::time_point now)
+                          std::optional<message> payload, base::time_point now)
 {
     const auto fleet = static_cast<std::uint64_t>(table_.live_count());
     const gossip_sources sources{
@@ -293,57 +295,60 @@
         .entries = entries_,
         .budget = update_budget_,
         .random = options_.random,
-        .max_bytes = options_.max_bytes - (with ? size_bound(*with) : 0),
+        .max_bytes = options_.max_bytes - (payload ? size_bound(*payload) : 0),
         .max_samples = options_.max_samples,
         .max_entry_bytes = options_.max_entry_bytes,
-        .retransmits = options_.retransmit_factor * static_cast<std::size_t>(std::bit_width(fleet)),
+        .retransmit_limit =
+            options_.retransmit_factor * static_cast<std::size_t>(std::bit_width(fleet)),
     };
-    // Gossip first, so that a stranger is known by the time that its request is read.
+    // Gossip comes first, so that the receiver knows an unknown sender by the time it handles the
+    // payload.
     send action{.address = address, .to = to, .messages = {write_gossip(sources, to.id, now)}};
-    if (with)
+    if (payload)
     {
-        action.messages.push_back(std::move(*with));
+        action.messages.push_back(std::move(*payload));
     }
     actions_.emplace_back(std::move(action));
 }
 
-void membership::absorb_stall(base::time_point now)
+void membership::compensate_for_stall(base::time_point now)
 {
-    const auto late = now - expected_;
-    if (late > stall_threshold)
+    const auto delay = now - expected_call_;
+    if (delay > stall_threshold)
     {
-        // Frozen, or starved of processor time. Answers that came meanwhile haven't been read:
-        // without this, a node that wakes up would accuse all whom it had asked, and bury its
-        // suspects.
-        probes_.postpone(late);
-        suspicions_.postpone(late);
+        // This process was suspended or starved of CPU time, and answers received meanwhile have
+        // not been read. Without this correction, a node that resumes would suspect all nodes that
+        // it had probed, and declare its suspects dead.
+        probes_.postpone(delay);
+        suspicions_.postpone(delay);
     }
 }
 
-void membership::expect_call(base::time_point now)
+void membership::update_expected_call(base::time_point now)
 {
-    expected_ = std::max(next_wakeup(), now);
+    expected_call_ = std::max(next_wakeup(), now);
 }
 
-base::duration membership::probe_period() const
+base::duration membership::current_probe_period() const
 {
-    return table_.live_count() <= options_.small_fleet ? options_.short_period : options_.period;
+    return table_.live_count() <= options_.small_fleet_size ? options_.short_probe_period
+                                                            : options_.probe_period;
 }
 
-suspicion_timers::span membership::suspicion_span() const
+suspicion_timers::timeouts membership::suspicion_timeouts() const
 {
     const std::size_t fleet = table_.live_count();
-    // News reaches all in a time that grows with the logarithm, from a part that is the same for
-    // all.
+    // The time for an update to reach all nodes is a constant plus a term that grows with the
+    // logarithm of the fleet's size.
     const double decades = std::log10(static_cast<double>(std::max<std::size_t>(fleet, 10)));
     const double scale = (1 + decades) / 2;
-    const auto shortest = base::duration(
-        static_cast<base::duration::rep>(static_cast<double>(options_.suspicion.count()) * scale));
-    // This node and the suspect can't be further accusers.
+    const auto minimum = base::duration(static_cast<base::duration::rep>(
+        static_cast<double>(options_.suspicion_timeout.count()) * scale));
+    // This node and the suspect cannot be further accusers.
     const std::size_t others = fleet > 2 ? fleet - 2 : 0;
-    return {.shortest = shortest,
-            .longest = shortest * longest_suspicion_factor,
-            .enough = std::min(enough_accusers, others)};
+    return {.minimum = minimum,
+            .maximum = minimum * max_suspicion_factor,
+            .confirmations = std::min(max_confirmations, others)};
 }
 
 endpoint membership::address_of(const base::node_ref& node, const endpoint& source) const
--- a/src/libcaraway/membership/messages.hpp
+++ b/src/libcaraway/membership/messages.hpp
@@ -13,12 +13,12 @@
 #include <variant>
 #include <vector>
 
-/// What routers tell each other about who is alive. Everything here may be lost, repeated, late or
-/// out of order: each value is state that is merged, never a step to be applied once.
+/// Membership messages between routers. Any message may be lost, repeated, delayed or reordered;
+/// therefore every value is state to be merged, never an operation to be applied once.
 namespace caraway::membership
 {
 
-/// An IP address as text and a port.
+/// An IP address in text form and a port.
 struct endpoint
 {
     std::string host{};
@@ -32,66 +32,67 @@
     }
 };
 
-/// What a node says of itself. Within one life it only moves forward.
+/// The state that a node announces of itself. Within one incarnation the state only advances.
 enum class announced_state : std::uint8_t
 {
-    joining,  ///< Up, but cold: gets no callers and owns nothing yet.
+    joining,  ///< Starting: receives no callers and owns nothing yet.
     alive,    ///< Ready.
-    leaving,  ///< Shutting down gracefully: finishes what it has.
-    left,     ///< Ended on purpose.
+    leaving,  ///< Shutting down gracefully: completes requests in flight.
+    left,     ///< Shut down on purpose.
 };
 
-/// What others say of a node.
+/// The judgement of other nodes about a node.
 enum class verdict : std::uint8_t
 {
     none,
-    suspect,  ///< Did not answer, neither directly nor through others.
-    dead,     ///< Did not refute the suspicion in time.
+    suspect,  ///< Answered neither direct nor indirect probes.
+    dead,     ///< Did not refute the suspicion before its timeout.
 };
 
-/// Where a node is and how it is reached; fixed for one life.
+/// Location and addresses of a node; fixed for one incarnation.
 struct member_details
 {
-    endpoint peer{};    ///< Datagrams from other routers.
-    endpoint caller{};  ///< Callers' HTTP.
-    endpoint admin{};   ///< Operators and peers by RPC.
+    endpoint peer{};    ///< Receives datagrams from other routers.
+    endpoint caller{};  ///< Receives HTTP requests of callers.
+    endpoint admin{};   ///< Receives RPCs of operators and peers.
     base::zone_id zone{};
     base::region_id region{};
 
     friend bool operator==(const member_details&, const member_details&) = default;
 };
 
-/// The state of one node, ordered by (life, refutations, verdict): of two updates the greater one
-/// holds, in whichever order they come.
+/// The state of one node, ordered by (incarnation, refutations, verdict): of two updates the
+/// greater one wins, whatever the order of arrival.
 struct member_update
 {
     base::node_ref node{};
-    /// Rises whenever the node announces a new state or refutes a verdict; set by the node alone.
+    /// Incremented by the node alone, whenever the node announces a new state or refutes a verdict.
     std::uint32_t refutations = 0;
     announced_state announced = announced_state::joining;
     verdict judged = verdict::none;
-    /// Who suspects; empty unless suspect. Independent accusers shorten a suspicion.
+    /// The node that raised the suspicion; empty unless suspect. Independent accusers shorten the
+    /// suspicion timeout.
     base::node_id accuser{};
-    /// Left out where the receiver will mostly know it already.
+    /// Omitted where most receivers already know the details.
     std::optional<member_details> details{};
 
     friend bool operator==(const member_update&, const member_update&) = default;
 };
 
-/// Whether `a` replaces `b`, two updates of the same node.
+/// Whether `a` supersedes `b`; both must be updates of the same node.
 bool supersedes(const member_update& a, const member_update& b);
 
-/// How busy a node is. A hint that ages: used for placing, never for correctness.
+/// A node's load. It may be stale: placement uses it, correctness never depends on it.
 struct load_digest
 {
-    std::uint32_t waiting = 0;      ///< Requests in its queues.
+    std::uint32_t waiting = 0;      ///< Requests waiting in its queues.
     std::uint32_t free_slots = 0;   ///< Unused slots of the upstreams that it owns.
-    std::uint32_t connections = 0;  ///< Callers' open connections.
+    std::uint32_t connections = 0;  ///< Open connections of callers.
 
     friend bool operator==(const load_digest&, const load_digest&) = default;
 };
 
-/// Another node's load, passed on.
+/// The load of a third node, forwarded by the sender.
 struct load_sample
 {
     base::node_id node{};
@@ -102,7 +103,7 @@
     friend bool operator==(const load_sample&, const load_sample&) = default;
 };
 
-/// The newest accepted configuration that a node has heard of, and a node that holds it.
+/// The newest accepted configuration that a node knows of, and a node that has this configuration.
 struct configuration_ref
 {
     base::config_version version{};
@@ -112,17 +113,17 @@
     friend bool operator==(const configuration_ref&, const configuration_ref&) = default;
 };
 
-/// One element of an expiring_set on its way.
+/// One entry of an expiring_set in a message.
 struct expiring_entry
 {
     std::uint64_t fingerprint = 0;
     std::uint32_t count = 0;
-    std::uint32_t ttl_ms = 0;  ///< Time left.
+    std::uint32_t ttl_ms = 0;  ///< Remaining time to live, in milliseconds.
 
     friend bool operator==(const expiring_entry&, const expiring_entry&) = default;
 };
 
-/// "Are you there?" Answered by probe_ack with the same sequence.
+/// Liveness probe. Answered by a probe_ack with the same sequence.
 struct probe
 {
     std::uint32_t sequence = 0;
@@ -137,7 +138,7 @@
     friend bool operator==(const probe_ack&, const probe_ack&) = default;
 };
 
-/// "I did not get an answer either", from one who was asked by probe_request.
+/// Negative answer to a probe_request: the target did not answer the relay either.
 struct probe_nack
 {
     std::uint32_t sequence = 0;
@@ -145,8 +146,8 @@
     friend bool operator==(const probe_nack&, const probe_nack&) = default;
 };
 
-/// "Probe this node for me": what comes of it comes back as probe_ack or probe_nack with this
-/// sequence.
+/// Asks the receiver to probe `target` on behalf of the sender. The receiver reports the result as
+/// a probe_ack or probe_nack with the sequence of this request.
 struct probe_request
 {
     std::uint32_t sequence = 0;
@@ -156,38 +157,41 @@
     friend bool operator==(const probe_request&, const probe_request&) = default;
 };
 
-/// A node's list of members in brief: they fall into buckets by their ids, and two nodes that agree
-/// on the states of all of a bucket have the same number there.
+/// Compact digest of a node's member list. Members are assigned to buckets by a hash of their ids;
+/// two nodes that agree on the states of all members of a bucket have the same value for the
+/// bucket.
 using view_digest = std::array<std::uint32_t, 64>;
 
-/// Asks for the receiver's list of members, a page at a time. A joining node's first message.
+/// Requests the receiver's member list, one page at a time. First message of a joining node.
 struct sync_request
 {
-    /// Members after this one, in order of id; empty for the first page.
+    /// Requests members with ids after this one; empty for the first page.
     base::node_id after{};
-    /// The asker's own list; buckets that are the same need no answer.
+    /// Digest of the requester's own list; buckets with the same value are omitted from the reply.
     view_digest view{};
 
     friend bool operator==(const sync_request&, const sync_request&) = default;
 };
 
-/// The members of the buckets that differ; none at all if the lists are the same.
+/// The members of the buckets that differ; empty if the lists are the same.
 struct sync_reply
 {
     std::vector<member_update> members{};
-    /// Ask for the next page after this member; empty when this was the last.
+    /// The next page starts after this member; empty on the last page.
     base::node_id next_after{};
 
     friend bool operator==(const sync_reply&, const sync_reply&) = default;
 };
 
-/// Rides along with every other message, and is sent by itself when there is news.
+/// Sent along with every message other than sync_reply, and by itself when there are updates to
+/// push.
 struct gossip
 {
     load_digest load{};                    ///< The sender's own.
     base::config_version configuration{};  ///< In force at the sender.
     configuration_ref newest{};
-    /// Of the sender's whole list of members: another number than ours calls for a sync_request.
+    /// Hash of the sender's member list; if it differs from the receiver's, the lists have to be
+    /// synchronized by a sync_request.
     std::uint32_t view = 0;
     std::vector<member_update> updates{};
     std::vector<load_sample> samples{};
--- a/src/libcaraway/membership/probe_tracker.cpp
+++ b/src/libcaraway/membership/probe_tracker.cpp
@@ -9,7 +9,8 @@
 namespace
 {
 
-/// More requests at a time than a fleet of working nodes makes; the rest is not served.
+/// Limit of relayed probes in flight: above what a fleet without failures requests. Requests beyond
+/// the limit are not tracked, so no answer is sent for them.
 constexpr std::size_t max_relayed = 64;
 
 }  // namespace
@@ -23,12 +24,12 @@
     return last_sequence_;
 }
 
-std::uint32_t probe_tracker::start_for(requester asked, base::time_point now)
+std::uint32_t probe_tracker::start_relayed(requester origin, base::time_point now)
 {
     ++last_sequence_;
     if (relayed_.size() < max_relayed)
     {
-        relayed_[last_sequence_] = {.asked = std::move(asked), .started = now};
+        relayed_[last_sequence_] = {.origin = std::move(origin), .started = now};
     }
     return last_sequence_;
 }
@@ -41,9 +42,9 @@
     {
         return std::nullopt;
     }
-    requester asked = std::move(relayed->second.asked);
+    requester origin = std::move(relayed->second.origin);
     relayed_.erase(relayed);
-    return asked;
+    return origin;
 }
 
 std::vector<probe_tracker::unanswered> probe_tracker::take_overdue(base::time_point now)
@@ -51,20 +52,20 @@
     std::vector<unanswered> overdue;
     for (auto& [sequence, probe] : own_)
     {
-        if (!probe.asked_others && probe.started + timeouts_.direct <= now)
+        if (!probe.indirect_requested && probe.started + timeouts_.direct <= now)
         {
-            probe.asked_others = true;
+            probe.indirect_requested = true;
             overdue.push_back({.sequence = sequence, .target = probe.target});
         }
     }
     return overdue;
 }
 
-void probe_tracker::note_nack(std::uint32_t sequence, const base::node_id& from)
+void probe_tracker::record_nack(std::uint32_t sequence, const base::node_id& relay)
 {
     if (const auto probe = own_.find(sequence); probe != own_.end())
     {
-        probe->second.nacks.insert(from);
+        probe->second.nacks.insert(relay);
     }
 }
 
@@ -75,7 +76,7 @@
                   [&](auto& item)
                   {
                       auto& [sequence, probe] = item;
-                      if (probe.started + timeouts_.whole > now)
+                      if (probe.started + timeouts_.total > now)
                       {
                           return false;
                       }
@@ -87,7 +88,7 @@
     return failed;
 }
 
-std::vector<probe_tracker::requester> probe_tracker::take_failed_for_others(base::time_point now)
+std::vector<probe_tracker::requester> probe_tracker::take_failed_relayed(base::time_point now)
 {
     std::vector<requester> failed;
     std::erase_if(relayed_,
@@ -97,7 +98,7 @@
                       {
                           return false;
                       }
-                      failed.push_back(std::move(item.second.asked));
+                      failed.push_back(std::move(item.second.origin));
                       return true;
                   });
     return failed;
@@ -112,7 +113,7 @@
     };
     for (const auto& [sequence, probe] : own_)
     {
-        consider(probe.started + (probe.asked_others ? timeouts_.whole : timeouts_.direct));
+        consider(probe.started + (probe.indirect_requested ? timeouts_.total : timeouts_.direct));
     }
     for (const auto& [sequence, probe] : relayed_)
     {
@@ -123,19 +124,19 @@
 
 base::duration probe_tracker::relay_timeout() const
 {
-    // A part of the rest is left for the way of the request and of the answer.
-    return (timeouts_.whole - timeouts_.direct) * 4 / 5;
+    // The remaining fifth is left for transmitting the request and the answer.
+    return (timeouts_.total - timeouts_.direct) * 4 / 5;
 }
 
-void probe_tracker::postpone(base::duration by)
+void probe_tracker::postpone(base::duration delay)
 {
     for (auto& [sequence, probe] : own_)
     {
-        probe.started += by;
+        probe.started += delay;
     }
     for (auto& [sequence, probe] : relayed_)
     {
-        probe.started += by;
+        probe.started += delay;
     }
 }
 
--- a/src/libcaraway/membership/probe_tracker.hpp
+++ b/src/libcaraway/membership/probe_tracker.hpp
@@ -13,26 +13,27 @@
 namespace caraway::membership
 {
 
-/// Probes that wait for their acknowledgement: this node's own, and those for others.
+/// Probes that await an acknowledgement: probes of this node, and probes relayed for other nodes.
 class probe_tracker
 {
 public:
     struct timeouts
     {
         base::duration direct{};
-        base::duration whole{};
+        base::duration total{};
     };
 
-    /// A probe of this node's own that has gone unanswered.
+    /// A probe of this node that has not been answered.
     struct unanswered
     {
         std::uint32_t sequence = 0;
         base::node_ref target{};
-        /// Others who got no answer from it.
+        /// Nodes that probed the target on request and got no answer either.
         std::set<base::node_id> nacks{};
     };
 
-    /// Who asked for a probe, and under which sequence the answer goes back.
+    /// The node that requested a relayed probe, and the sequence under which the result is sent
+    /// back.
     struct requester
     {
         base::node_ref node{};
@@ -42,36 +43,39 @@
 
     explicit probe_tracker(timeouts limits);
 
-    /// Both return the sequence to send.
+    /// Start a probe of this node or a relayed one. Both return the sequence to send.
     std::uint32_t start(const base::node_ref& target, base::time_point now);
-    std::uint32_t start_for(requester asked, base::time_point now);
+    std::uint32_t start_relayed(requester origin, base::time_point now);
 
-    /// Takes an acknowledgement. If it answers somebody else's probe, returns whom to tell.
+    /// Records an acknowledgement. If it belongs to a relayed probe, returns the node to which to
+    /// forward the acknowledgement.
     std::optional<requester> acknowledge(std::uint32_t sequence);
 
-    /// Probes for which others should be asked; each is returned once.
+    /// Probes unanswered for the direct timeout, to be retried through other nodes; each probe is
+    /// returned once.
     std::vector<unanswered> take_overdue(base::time_point now);
-    /// Somebody who was asked got no answer either.
-    void note_nack(std::uint32_t sequence, const base::node_id& from);
-    /// Probes that failed; they end here.
+    /// Records that a node asked for an indirect probe got no answer either.
+    void record_nack(std::uint32_t sequence, const base::node_id& relay);
+    /// Removes and returns probes of this node that have exceeded the total timeout.
     std::vector<unanswered> take_failed(base::time_point now);
-    /// The same for those that others asked for, soon enough for them to hear of it in time.
-    std::vector<requester> take_failed_for_others(base::time_point now);
+    /// Removes and returns relayed probes that have timed out; the timeout is short enough for the
+    /// negative answer to reach the requester in time.
+    std::vector<requester> take_failed_relayed(base::time_point now);
     std::optional<base::time_point> next_deadline() const;
-    /// Gives all probes more time: this node itself stood still for so long.
-    void postpone(base::duration by);
+    /// Extends the deadlines of all probes after this process was stalled for `delay`.
+    void postpone(base::duration delay);
 
 private:
     struct own_probe
     {
         base::node_ref target{};
         base::time_point started{};
-        bool asked_others = false;
+        bool indirect_requested = false;
         std::set<base::node_id> nacks{};
     };
     struct relayed_probe
     {
-        requester asked{};
+        requester origin{};
         base::time_point started{};
     };
 
--- a/src/libcaraway/membership/snapshot.cpp
+++ b/src/libcaraway/membership/snapshot.cpp
@@ -8,18 +8,18 @@
 namespace
 {
 
-QString text(const std::string& value)
+QString to_text(const std::string& value)
 {
     return QString::fromStdString(value);
 }
 
-QString address(const endpoint& value)
+QString address_text(const endpoint& value)
 {
-    return text(value.host + ":" + std::to_string(value.port));
+    return to_text(value.host + ":" + std::to_string(value.port));
 }
 
-/// As text: JSON's numbers hold 53 bits.
-QString whole(std::uint64_t value)
+/// Written as text, since JSON numbers hold integers exactly only up to 53 bits.
+QString decimal_text(std::uint64_t value)
 {
     return QString::number(value);
 }
@@ -29,29 +29,29 @@
     return std::chrono::duration<double>(value).count();
 }
 
-QJsonObject describe(const member& of, base::time_point now)
+QJsonObject describe(const member& known, base::time_point now)
 {
     QJsonObject described{
-        {"node", text(of.node.id.str())},
-        {"life", whole(static_cast<std::uint64_t>(of.node.life))},
-        {"state", name(of.state())},
-        {"state_for_s", seconds(now - of.changed_at)},
-        {"refutations", static_cast<qint64>(of.refutations)},
-        {"peer", address(of.details.peer)},
-        {"caller", address(of.details.caller)},
-        {"admin", address(of.details.admin)},
-        {"zone", text(of.details.zone.str())},
-        {"region", text(of.details.region.str())},
-        {"configuration", whole(static_cast<std::uint64_t>(of.configuration))},
-        {"configuration_hash", text(of.configuration_hash)},
+        {"node", to_text(known.node.id.str())},
+        {"life", decimal_text(static_cast<std::uint64_t>(known.node.life))},
+        {"state", name(known.state())},
+        {"state_for_s", seconds(now - known.changed_at)},
+        {"refutations", static_cast<qint64>(known.refutations)},
+        {"peer", address_text(known.details.peer)},
+        {"caller", address_text(known.details.caller)},
+        {"admin", address_text(known.details.admin)},
+        {"zone", to_text(known.details.zone.str())},
+        {"region", to_text(known.details.region.str())},
+        {"configuration", decimal_text(static_cast<std::uint64_t>(known.configuration))},
+        {"configuration_hash", to_text(known.configuration_hash)},
     };
-    if (of.load_at)
+    if (known.load_measured_at)
     {
         described["load"] = QJsonObject{
-            {"waiting", static_cast<qint64>(of.load.waiting)},
-            {"free_slots", static_cast<qint64>(of.load.free_slots)},
-            {"connections", static_cast<qint64>(of.load.connections)},
-            {"age_s", seconds(now - *of.load_at)},
+            {"waiting", static_cast<qint64>(known.load.waiting)},
+            {"free_slots", static_cast<qint64>(known.load.free_slots)},
+            {"connections", static_cast<qint64>(known.load.connections)},
+            {"age_s", seconds(now - *known.load_measured_at)},
         };
     }
     return described;
@@ -59,21 +59,21 @@
 
 }  // namespace
 
-QJsonObject snapshot(const membership& of, base::time_point now)
+QJsonObject snapshot(const membership& source, base::time_point now)
 {
     QJsonArray members;
-    for (const auto& [id, each] : of.members())
+    for (const auto& [id, node] : source.members())
     {
-        members.append(describe(each, now));
+        members.append(describe(node, now));
     }
     QJsonArray entries;
-    for (const auto& entry : of.entries().entries(now))
+    for (const auto& entry : source.entries().entries(now))
     {
-        entries.append(QJsonObject{{"fingerprint", whole(entry.fingerprint)},
+        entries.append(QJsonObject{{"fingerprint", decimal_text(entry.fingerprint)},
                                    {"count", static_cast<qint64>(entry.count)},
                                    {"ttl_ms", static_cast<qint64>(entry.ttl_ms)}});
     }
-    return {{"self", text(of.self().id.str())}, {"members", members}, {"entries", entries}};
+    return {{"self", to_text(source.self().id.str())}, {"members", members}, {"entries", entries}};
 }
 
 }  // namespace caraway::membership
--- a/src/libcaraway/membership/snapshot.hpp
+++ b/src/libcaraway/membership/snapshot.hpp
@@ -8,7 +8,7 @@
 namespace caraway::membership
 {
 
-/// The whole state for the dump: this node, every member known, the expiring set.
-QJsonObject snapshot(const membership& of, base::time_point now);
+/// The state dump: this node, every known member and the entries of the expiring set.
+QJsonObject snapshot(const membership& source, base::time_point now);
 
 }  // namespace caraway::membership
--- a/src/libcaraway/membership/suspicion_timers.cpp
+++ b/src/libcaraway/membership/suspicion_timers.cpp
@@ -9,23 +9,24 @@
 namespace
 {
 
-/// Falls with the logarithm of the accusers: the second tells the most.
-base::duration allowed(const suspicion_timers::span& times, std::size_t accusers)
+/// Decreases with the logarithm of the number of accusers: the second accuser adds the most
+/// evidence.
+base::duration timeout_for(const suspicion_timers::timeouts& limits, std::size_t accusers)
 {
-    if (times.enough == 0 || accusers > times.enough)
+    if (limits.confirmations == 0 || accusers > limits.confirmations)
     {
-        return times.shortest;
+        return limits.minimum;
     }
-    const double part =
-        std::log(static_cast<double>(accusers)) / std::log(static_cast<double>(times.enough + 1));
-    const auto range = static_cast<double>((times.longest - times.shortest).count());
-    return times.longest - base::duration(static_cast<base::duration::rep>(range * part));
+    const double fraction = std::log(static_cast<double>(accusers)) /
+                            std::log(static_cast<double>(limits.confirmations + 1));
+    const auto range = static_cast<double>((limits.maximum - limits.minimum).count());
+    return limits.maximum - base::duration(static_cast<base::duration::rep>(range * fraction));
 }
 
 }  // namespace
 
-bool suspicion_timers::suspect(const suspicion_key& key, const base::node_id& accuser,
-                               const span& times, base::time_point now)
+bool suspicion_timers::record_accuser(const suspicion_key& key, const base::node_id& accuser,
+                                      const timeouts& limits, base::time_point now)
 {
     auto& timer = timers_[key.node.id];
     const bool is_new = !(timer.key == key);
@@ -33,13 +34,13 @@
     {
         timer = {.key = key, .started = now, .deadline = {}, .accusers = {}};
     }
-    const bool is_accuser =
-        timer.accusers.size() <= times.enough && timer.accusers.insert(accuser).second;
-    if (is_accuser)
+    const bool is_new_accuser =
+        timer.accusers.size() <= limits.confirmations && timer.accusers.insert(accuser).second;
+    if (is_new_accuser)
     {
-        timer.deadline = timer.started + allowed(times, timer.accusers.size());
+        timer.deadline = timer.started + timeout_for(limits, timer.accusers.size());
     }
-    return is_accuser;
+    return is_new_accuser;
 }
 
 void suspicion_timers::clear(const base::node_id& id)
@@ -73,12 +74,12 @@
     return next;
 }
 
-void suspicion_timers::postpone(base::duration by)
+void suspicion_timers::postpone(base::duration delay)
 {
     for (auto& [id, timer] : timers_)
     {
-        timer.started += by;
-        timer.deadline += by;
+        timer.started += delay;
+        timer.deadline += delay;
     }
 }
 
--- a/src/libcaraway/membership/suspicion_timers.hpp
+++ b/src/libcaraway/membership/suspicion_timers.hpp
@@ -12,7 +12,8 @@
 namespace caraway::membership
 {
 
-/// The verdict that a timer leads to: it holds for just this state of the node.
+/// Identifies a suspicion: it applies only to this incarnation and number of refutations of the
+/// node.
 struct suspicion_key
 {
     base::node_ref node{};
@@ -21,30 +22,31 @@
     friend bool operator==(const suspicion_key&, const suspicion_key&) = default;
 };
 
-/// How long each suspect still has to refute.
+/// Deadlines by which suspects have to refute.
 ///
-/// One accuser may be the one who is cut off, so a suspicion starts with the longest time; each
-/// further accuser shortens it, down to the shortest when there are enough of them.
+/// A single accuser may itself be the node that is partitioned, so a suspicion starts with the
+/// maximum timeout. Each further accuser shortens the timeout, down to the minimum at
+/// `timeouts::confirmations` further accusers.
 class suspicion_timers
 {
 public:
-    struct span
+    struct timeouts
     {
-        base::duration shortest{};
-        base::duration longest{};
-        /// Accusers besides the first that bring it down to the shortest.
-        std::size_t enough = 2;
+        base::duration minimum{};
+        base::duration maximum{};
+        /// Number of accusers, besides the first one, that reduce the timeout to the minimum.
+        std::size_t confirmations = 2;
     };
 
-    /// Starts a timer, or adds an accuser to the one that runs. True if it was news.
-    bool suspect(const suspicion_key& key, const base::node_id& accuser, const span& times,
-                 base::time_point now);
+    /// Starts a timer, or adds an accuser to a running one. True if the accuser was new.
+    bool record_accuser(const suspicion_key& key, const base::node_id& accuser,
+                        const timeouts& limits, base::time_point now);
     void clear(const base::node_id& id);
-    /// Those whose time ran out; their timers end.
+    /// Removes and returns the suspicions whose deadline has passed.
     std::vector<suspicion_key> take_expired(base::time_point now);
     std::optional<base::time_point> next_deadline() const;
-    /// Gives all timers more time: this node itself stood still for so long.
-    void postpone(base::duration by);
+    /// Extends all deadlines after this process was stalled for `delay`.
+    void postpone(base::duration delay);
 
 private:
     struct timer
--- a/src/libcaraway/membership/sync_session.cpp
+++ b/src/libcaraway/membership/sync_session.cpp
@@ -6,25 +6,25 @@
 namespace
 {
 
-constexpr auto pause_between_pages = std::chrono::milliseconds(50);
+constexpr auto page_interval = std::chrono::milliseconds(50);
 constexpr auto page_timeout = std::chrono::milliseconds(500);
-constexpr int max_tries = 3;
+constexpr int max_attempts = 3;
 
 }  // namespace
 
-void sync_session::begin(const endpoint& address, const base::node_ref& peer, base::time_point now)
+void sync_session::start(const endpoint& address, const base::node_ref& peer, base::time_point now)
 {
     if (!session_)
     {
-        session_ = {.asked = {.address = address, .peer = peer, .after = resume_after_},
-                    .due = now};
+        session_ = {.pending = {.address = address, .peer = peer, .after = resume_after_},
+                    .send_at = now};
     }
 }
 
-void sync_session::page_came(const endpoint& address, const base::node_ref& peer,
-                             const base::node_id& next_after, base::time_point now)
+void sync_session::record_page(const endpoint& address, const base::node_ref& peer,
+                               const base::node_id& next_after, base::time_point now)
 {
-    if (session_ && session_->asked.peer.id != peer.id)
+    if (session_ && session_->pending.peer.id != peer.id)
     {
         return;
     }
@@ -32,25 +32,25 @@
     resume_after_ = next_after;
     if (!next_after.empty())
     {
-        session_ = {.asked = {.address = address, .peer = peer, .after = next_after},
-                    .due = now + pause_between_pages};
+        session_ = {.pending = {.address = address, .peer = peer, .after = next_after},
+                    .send_at = now + page_interval};
     }
 }
 
 std::optional<sync_session::request> sync_session::take_due(base::time_point now)
 {
-    if (!session_ || now < session_->due)
+    if (!session_ || now < session_->send_at)
     {
         return std::nullopt;
     }
-    if (session_->tries == max_tries)
+    if (session_->attempts == max_attempts)
     {
         session_.reset();
         return std::nullopt;
     }
-    ++session_->tries;
-    session_->due = now + page_timeout;
-    return session_->asked;
+    ++session_->attempts;
+    session_->send_at = now + page_timeout;
+    return session_->pending;
 }
 
 std::optional<base::time_point> sync_session::next_deadline() const
@@ -59,7 +59,7 @@
     {
         return std::nullopt;
     }
-    return session_->due;
+    return session_->send_at;
 }
 
 }  // namespace caraway::membership
--- a/src/libcaraway/membership/sync_session.hpp
+++ b/src/libcaraway/membership/sync_session.hpp
@@ -8,8 +8,8 @@
 namespace caraway::membership
 {
 
-/// Fetching a peer's list of members page by page, slowly enough not to burst, and again for a page
-/// that got lost.
+/// Fetches a peer's member list page by page: paced, to avoid bursts, and with retries for lost
+/// pages.
 class sync_session
 {
 public:
@@ -20,27 +20,30 @@
         base::node_id after{};
     };
 
-    /// Starts with this peer, unless a session runs. The first page is asked for at once.
-    void begin(const endpoint& address, const base::node_ref& peer, base::time_point now);
-    /// A page came. A page from another peer than the session's starts one if none runs.
-    void page_came(const endpoint& address, const base::node_ref& peer,
-                   const base::node_id& next_after, base::time_point now);
-    /// Where the next session begins: where the last one broke off, so that a list that is too long
-    /// for what its holder may send is still got in the end.
+    /// Starts a session with this peer unless one is in progress. The first page is requested at
+    /// once.
+    void start(const endpoint& address, const base::node_ref& peer, base::time_point now);
+    /// Records a received page. A page from a peer other than that of the session is ignored; if no
+    /// session is in progress, the page starts one.
+    void record_page(const endpoint& address, const base::node_ref& peer,
+                     const base::node_id& next_after, base::time_point now);
+    /// The member after which the next session starts, which is where the last session was
+    /// abandoned: a list that exceeds the send limit of its holder is thus still fetched
+    /// completely, over several sessions.
     const base::node_id& resume_after() const
     {
         return resume_after_;
     }
-    /// The request that is due; it is repeated if no page comes.
+    /// The request to send now, if any; the request is repeated if no page is received.
     std::optional<request> take_due(base::time_point now);
     std::optional<base::time_point> next_deadline() const;
 
 private:
     struct session
     {
-        request asked{};
-        base::time_point due{};
-        int tries = 0;
+        request pending{};
+        base::time_point send_at{};
+        int attempts = 0;
     };
 
     std::optional<session> session_;
--- a/src/libcaraway/membership/update_queue.cpp
+++ b/src/libcaraway/membership/update_queue.cpp
@@ -11,24 +11,28 @@
 namespace
 {
 
-/// So often heard from others, an update is known to nearly all, if it has also been sent some
-/// times. In a fleet of a few nodes those who know soon hear it often from each other, before all
-/// know.
-constexpr std::size_t enough_heard = 6;
-constexpr std::size_t enough_sent = 6;
-/// What even the smallest fleet sends.
-constexpr std::size_t least_limit = 12;
+/// An update received this often from peers, and sent this often, is known to nearly all nodes and
+/// is removed from the queue. The number of times received does not suffice: in a fleet of a few
+/// nodes, the nodes that know an update early receive it often from each other before all nodes
+/// know it.
+constexpr std::size_t min_received = 6;
+constexpr std::size_t min_sent = 6;
+/// Lower bound of the send limit, for the smallest fleets.
+constexpr std::size_t min_send_limit = 12;
 
-/// When a whole fleet starts at once, its nodes get to know each other from lists, which are sent
-/// once, and not from gossip, which is sent several times.
+/// Limit of queued updates beyond which updates with details are not queued: when a whole fleet
+/// starts at once, the nodes learn of each other from member lists, which are sent once, rather
+/// than from gossip, which is sent several times.
 constexpr std::size_t max_with_details = 64;
 
-/// Suspicions of the same state by different accusers each count, and are passed on side by side.
-bool replaces(const member_update& now, const member_update& before)
+/// Suspicions of the same state by different accusers each count as evidence, and are passed on
+/// separately.
+bool replaces(const member_update& next, const member_update& previous)
 {
-    const bool both_suspect = now.judged == verdict::suspect && before.judged == verdict::suspect &&
-                              now.node == before.node && now.refutations == before.refutations;
-    return now.node.id == before.node.id && !(both_suspect && now.accuser != before.accuser);
+    const bool both_suspect = next.judged == verdict::suspect &&
+                              previous.judged == verdict::suspect && next.node == previous.node &&
+                              next.refutations == previous.refutations;
+    return next.node.id == previous.node.id && !(both_suspect && next.accuser != previous.accuser);
 }
 
 }  // namespace
@@ -42,50 +46,51 @@
     }
 }
 
-void update_queue::heard(const member_update& update)
+void update_queue::record_received(const member_update& update)
 {
-    for (auto& each : items_)
+    for (auto& entry : items_)
     {
-        const auto& queued = each.update;
+        const auto& queued = entry.update;
         if (queued.node == update.node && queued.refutations == update.refutations &&
             queued.judged == update.judged && queued.accuser == update.accuser)
         {
-            ++each.heard;
+            ++entry.received;
         }
     }
-    std::erase_if(items_, [](const item& each)
-                  { return each.heard >= enough_heard && each.sent >= enough_sent; });
+    std::erase_if(items_, [](const item& entry)
+                  { return entry.received >= min_received && entry.sent >= min_sent; });
 }
 
-std::vector<member_update> update_queue::take(std::size_t max_bytes, std::size_t limit)
+std::vector<member_update> update_queue::take(std::size_t max_bytes, std::size_t send_limit)
 {
-    std::vector<item*> order;
-    for (auto& each : items_)
+    std::vector<item*> by_sent;
+    for (auto& entry : items_)
     {
-        order.push_back(&each);
+        by_sent.push_back(&entry);
     }
-    std::stable_sort(order.begin(), order.end(),
+    std::stable_sort(by_sent.begin(), by_sent.end(),
                      [](const item* a, const item* b) { return a->sent < b->sent; });
     std::vector<member_update> taken;
     std::size_t used = 0;
-    for (item* each : order)
+    for (item* entry : by_sent)
     {
-        const std::size_t size = size_bound(each->update);
+        const std::size_t size = size_bound(entry->update);
         if (used + size > max_bytes)
         {
             continue;
         }
         used += size;
-        ++each->sent;
-        taken.push_back(each->update);
+        ++entry->sent;
+        taken.push_back(entry->update);
     }
     std::erase_if(items_,
-                  [limit](const item& each)
+                  [send_limit](const item& entry)
                   {
-                      // A death or a refutation follows each suspicion soon, and is passed on in
-                      // full.
-                      const bool is_suspicion = each.update.judged == verdict::suspect;
-                      return each.sent >= std::max(is_suspicion ? limit / 2 : limit, least_limit);
+                      // Each suspicion is soon followed by a death or a refutation, which is passed
+                      // on the full number of times.
+                      const bool is_suspicion = entry.update.judged == verdict::suspect;
+                      return entry.sent >=
+                             std::max(is_suspicion ? send_limit / 2 : send_limit, min_send_limit);
                   });
     return taken;
 }
--- a/src/libcaraway/membership/update_queue.hpp
+++ b/src/libcaraway/membership/update_queue.hpp
@@ -8,25 +8,27 @@
 namespace caraway::membership
 {
 
-/// Updates that still have to be passed on, each a bounded number of times; newest news first.
+/// Updates to be passed on to peers, each a bounded number of times; the least often sent first.
 class update_queue
 {
 public:
-    /// Takes the place of an older update of the same node and starts its count again.
+    /// Queues an update; it replaces an older update of the same node, and its send count starts at
+    /// 0.
     void put(member_update update);
-    /// A peer sent what is queued here: the more peers know it, the sooner it is done. Without this
-    /// most of what is sent would be known to its receiver.
-    void heard(const member_update& update);
-    /// Updates for the next message, the least often sent first, as many as fit. Those that have
-    /// then been sent `limit` times are done.
-    std::vector<member_update> take(std::size_t max_bytes, std::size_t limit);
+    /// Records that a peer sent an update that is queued here: the more peers know an update, the
+    /// earlier it is removed from the queue. Without this, most updates sent would already be known
+    /// to the receiver.
+    void record_received(const member_update& update);
+    /// Updates for the next message, the least often sent first, as many as fit into `max_bytes`.
+    /// Updates that have been sent `send_limit` times are then removed.
+    std::vector<member_update> take(std::size_t max_bytes, std::size_t send_limit);
 
 private:
     struct item
     {
         member_update update{};
         std::size_t sent = 0;
-        std::size_t heard = 0;
+        std::size_t received = 0;
     };
 
     std::vector<item> items_;
--- a/tests/membership/virtual_fleet.cpp
+++ b/tests/membership/virtual_fleet.cpp
@@ -14,7 +14,8 @@
 
 constexpr std::size_t zones = 5;
 constexpr std::size_t seed_count = 3;
-/// Larger fleets start more slowly: not all machines of a large one come up in the same seconds.
+/// Nodes of larger fleets are started further apart: the machines of a large fleet do not all come
+/// up within the same seconds.
 constexpr std::size_t small_start = 64;
 
 std::size_t size_on_wire(const base::node_ref& from, const membership::send& sending)
@@ -27,7 +28,8 @@
 
 }  // namespace
 
-virtual_fleet::virtual_fleet(options chosen) : options_(std::move(chosen)), random_(options_.seed)
+virtual_fleet::virtual_fleet(options settings)
+    : options_(std::move(settings)), random_(options_.seed)
 {
     options_.member.random = [this]
     {
@@ -42,22 +44,22 @@
         at(add(1000)).set_ready(now_);
         run_for(count > small_start ? 200ms : 20ms);
     }
-    if (!run_until([this] { return agrees(); }, 60s))
+    if (!run_until([this] { return has_converged(); }, 60s))
     {
-        throw std::runtime_error("the fleet does not form");
+        throw std::runtime_error("the fleet did not converge within 60 s");
     }
 }
 
-std::size_t virtual_fleet::add(std::uint64_t life)
+std::size_t virtual_fleet::add(std::uint64_t incarnation_offset)
 {
     machines_.emplace_back();
     const std::size_t node = machines_.size() - 1;
-    by_address_[address(node)] = node;
-    launch(node, life);
+    nodes_by_address_[address(node)] = node;
+    launch(node, incarnation_offset);
     return node;
 }
 
-void virtual_fleet::launch(std::size_t node, std::uint64_t life)
+void virtual_fleet::launch(std::size_t node, std::uint64_t incarnation_offset)
 {
     auto member_options = options_.member;
     for (std::size_t seed = 0; seed < std::min(seed_count, machines_.size()); ++seed)
@@ -74,14 +76,15 @@
     auto& machine = machines_[node];
     machine = {};
     machine.member = std::make_unique<membership::membership>(
-        member_options, base::node_ref{.id = id(node), .life = life_of(life)}, details, now_);
+        member_options, base::node_ref{.id = id(node), .life = incarnation_of(incarnation_offset)},
+        details, now_);
     machine.running = true;
     schedule_tick(node);
 }
 
-void virtual_fleet::restart(std::size_t node, std::uint64_t life)
+void virtual_fleet::restart(std::size_t node, std::uint64_t incarnation_offset)
 {
-    launch(node, life);
+    launch(node, incarnation_offset);
 }
 
 void virtual_fleet::kill(std::size_t node)
@@ -98,7 +101,7 @@
 {
     machines_[node].frozen = false;
     machines_[node].tick_at = time_point::max();
-    for (const auto& read : std::exchange(machines_[node].unread, {}))
+    for (const auto& read : std::exchange(machines_[node].unread_datagrams, {}))
     {
         read();
     }
@@ -115,9 +118,9 @@
     group_of_ = nullptr;
 }
 
-void virtual_fleet::run_for(base::duration time)
+void virtual_fleet::run_for(base::duration duration)
 {
-    const auto end = now_ + time;
+    const auto end = now_ + duration;
     while (!events_.empty() && events_.top().at <= end)
     {
         const event next = events_.top();
@@ -128,10 +131,10 @@
     now_ = end;
 }
 
-bool virtual_fleet::run_until(const std::function<bool()>& holds, base::duration limit)
+bool virtual_fleet::run_until(const std::function<bool()>& predicate, base::duration limit)
 {
     const auto end = now_ + limit;
-    while (!holds())
+    while (!predicate())
     {
         if (now_ >= end)
         {
@@ -152,19 +155,19 @@
     return base::node_id("router-" + std::to_string(node));
 }
 
-base::incarnation virtual_fleet::life_of(std::uint64_t offset)
+base::incarnation virtual_fleet::incarnation_of(std::uint64_t offset)
 {
     constexpr std::uint64_t milliseconds_since_1970 = 1'700'000'000'000;
     return base::incarnation{milliseconds_since_1970 + offset};
 }
 
-membership::member_state virtual_fleet::seen(std::size_t observer, std::size_t node)
+membership::member_state virtual_fleet::observed_state(std::size_t observer, std::size_t node)
 {
     const auto* found = at(observer).find(id(node));
     return found == nullptr ? membership::member_state::left : found->state();
 }
 
-bool virtual_fleet::agrees()
+bool virtual_fleet::has_converged()
 {
     for (std::size_t observer = 0; observer < machines_.size(); ++observer)
     {
@@ -174,7 +177,7 @@
         }
         for (std::size_t node = 0; node < machines_.size(); ++node)
         {
-            if ((seen(observer, node) == membership::member_state::alive) !=
+            if ((observed_state(observer, node) == membership::member_state::alive) !=
                 machines_[node].running)
             {
                 return false;
@@ -208,11 +211,11 @@
                  }
                  due.tick_at = time_point::max();
                  due.member->tick(now_);
-                 act(node);
+                 perform_actions(node);
              });
 }
 
-void virtual_fleet::act(std::size_t node)
+void virtual_fleet::perform_actions(std::size_t node)
 {
     auto& member = at(node);
     for (const auto& action : member.take_actions())
@@ -223,7 +226,7 @@
         }
         else if (const auto* changed = std::get_if<membership::member_changed>(&action))
         {
-            changes.push_back({.at = now_, .observer = id(node), .what = *changed});
+            changes.push_back({.at = now_, .observer = id(node), .transition = *changed});
         }
         else if (const auto* seen = std::get_if<membership::newer_configuration_seen>(&action))
         {
@@ -231,7 +234,7 @@
         }
         else
         {
-            newer_lives.push_back(std::get<membership::newer_incarnation_seen>(action));
+            newer_incarnations.push_back(std::get<membership::newer_incarnation_seen>(action));
         }
     }
     schedule_tick(node);
@@ -245,9 +248,9 @@
     ++counted.datagrams;
     counted.bytes += size;
     counted.largest = std::max(counted.largest, size);
-    const auto receiver = by_address_.find(sending.address);
+    const auto receiver = nodes_by_address_.find(sending.address);
     const bool is_lost = std::uniform_real_distribution<>(0, 1)(random_) < options_.loss;
-    if (receiver == by_address_.end() || is_lost ||
+    if (receiver == nodes_by_address_.end() || is_lost ||
         (group_of_ && group_of_(from) != group_of_(receiver->second)))
     {
         return;
@@ -265,7 +268,7 @@
     auto& machine = machines_[to];
     if (machine.frozen)
     {
-        machine.unread.emplace_back([=, this] { deliver(from, to, sender, sending); });
+        machine.unread_datagrams.emplace_back([=, this] { deliver(from, to, sender, sending); });
         return;
     }
     if (!machine.running || !wire::is_addressed_to(sending.to, machine.member->self()))
@@ -276,7 +279,7 @@
     {
         machine.member->receive(address(from), sender, message, now_);
     }
-    act(to);
+    perform_actions(to);
 }
 
 membership::endpoint virtual_fleet::address(std::size_t node) const
--- a/tests/membership/virtual_fleet.hpp
+++ b/tests/membership/virtual_fleet.hpp
@@ -17,7 +17,7 @@
 using base::time_point;
 using namespace std::chrono_literals;
 
-/// What one node sent, as the wire would have carried it, and what it was told.
+/// Datagrams and bytes that one node sent, with sizes as encoded and sealed for the wire.
 struct traffic
 {
     std::uint64_t datagrams = 0;
@@ -29,11 +29,11 @@
 {
     time_point at;
     base::node_id observer;
-    membership::member_changed what;
+    membership::member_changed transition;
 };
 
-/// Nodes on a virtual network that loses and delays datagrams, on a virtual clock. One seed gives
-/// one run.
+/// Nodes on a simulated network that loses and delays datagrams, on a simulated clock. Runs with
+/// the same seed are identical.
 class virtual_fleet
 {
 public:
@@ -46,33 +46,35 @@
         membership::membership_options member{};
     };
 
-    explicit virtual_fleet(options chosen);
+    explicit virtual_fleet(options settings);
 
-    /// Starts `count` nodes that know the first three as seeds, and runs until all agree.
+    /// Starts `count` nodes that know the first three as seeds, and runs until all nodes agree;
+    /// throws if they do not within 60 s.
     void start(std::size_t count);
-    std::size_t add(std::uint64_t life);
-    void restart(std::size_t node, std::uint64_t life);
+    std::size_t add(std::uint64_t incarnation_offset);
+    void restart(std::size_t node, std::uint64_t incarnation_offset);
     void kill(std::size_t node);
     void freeze(std::size_t node);
     void resume(std::size_t node);
-    /// Nodes of different groups lose all that they send each other.
+    /// All datagrams between nodes of different groups are lost.
     void partition(std::function<int(std::size_t)> group_of);
     void heal();
 
-    void run_for(base::duration time);
-    /// Steps of 50 ms until it holds; false if it doesn't within `limit`.
-    bool run_until(const std::function<bool()>& holds, base::duration limit);
+    void run_for(base::duration duration);
+    /// Runs in steps of 50 ms until `predicate` is true; returns false if it is still false after
+    /// `limit`.
+    bool run_until(const std::function<bool()>& predicate, base::duration limit);
 
     membership::membership& at(std::size_t node);
-    /// Carries out what a call of at() brought about.
-    void act(std::size_t node);
+    /// Performs the actions that a call on at() produced.
+    void perform_actions(std::size_t node);
     static base::node_id id(std::size_t node);
-    /// Lives as real ones are: large.
-    static base::incarnation life_of(std::uint64_t offset);
-    /// How `observer` sees `node`.
-    membership::member_state seen(std::size_t observer, std::size_t node);
-    /// All running nodes see exactly the running nodes as alive.
-    bool agrees();
+    /// Makes an incarnation as large as real ones, which are milliseconds since 1970.
+    static base::incarnation incarnation_of(std::uint64_t offset);
+    /// The state of `node` as `observer` sees it.
+    membership::member_state observed_state(std::size_t observer, std::size_t node);
+    /// Whether every running node sees exactly the running nodes as alive.
+    bool has_converged();
     time_point now() const
     {
         return now_;
@@ -80,7 +82,7 @@
 
     std::vector<change> changes;
     std::vector<membership::newer_configuration_seen> configurations;
-    std::vector<membership::newer_incarnation_seen> newer_lives;
+    std::vector<membership::newer_incarnation_seen> newer_incarnations;
     std::map<std::size_t, traffic> sent;
 
 private:
@@ -89,9 +91,9 @@
         std::unique_ptr<membership::membership> member;
         bool running = false;
         bool frozen = false;
-        /// The one tick that is scheduled; a later one in the queue is void.
+        /// Time of the one scheduled tick; any other tick in the queue is ignored.
         time_point tick_at = time_point::max();
-        std::vector<std::function<void()>> unread;
+        std::vector<std::function<void()>> unread_datagrams;
     };
     struct event
     {
@@ -104,7 +106,7 @@
         }
     };
 
-    void launch(std::size_t node, std::uint64_t life);
+    void launch(std::size_t node, std::uint64_t incarnation_offset);
     void schedule(time_point at, std::function<void()> run);
     void schedule_tick(std::size_t node);
     void transmit(std::size_t from, const membership::send& sending);
@@ -117,7 +119,7 @@
     time_point now_{1h};
     std::uint64_t order_ = 0;
     std::vector<machine> machines_;
-    std::map<membership::endpoint, std::size_t> by_address_;
+    std::map<membership::endpoint, std::size_t> nodes_by_address_;
     std::function<int(std::size_t)> group_of_;
     std::priority_queue<event> events_;
 };
