--- a/src/libcaraway/membership/membership.hpp
+++ b/src/libcaraway/membership/membership.hpp
@@ -85,8 +85,8 @@
     /// time, a suspect with a single accuser after three times as long; both grow with the
     /// logarithm of the fleet's size.
     base::duration suspicion_timeout = std::chrono::milliseconds(800);
-    /// An update is included in this number times log2 of the fleet's size messages, a suspicion in
-    /// half as many.
+    /// Multiplied by log2 of the fleet's size: the number of messages that include an update. A
+    /// suspicion is included in half as many.
     std::size_t retransmit_factor = 2;
     /// Updates are pushed to this many members, at most once per `push_interval`.
     std::size_t push_fanout = 2;
@@ -99,7 +99,7 @@
     /// Interval of comparison while the lists of peers differ. Updates that are still spreading
     /// make lists differ, too.
     base::duration mismatch_sync_interval = std::chrono::seconds(2);
-    /// How long dead nodes are remembered, and attempts to reach them are made.
+    /// How long dead nodes are remembered and contacted.
     base::duration dead_retention = std::chrono::hours(1);
 
     /// Upper bound of the estimated size of all messages of one `send`, in bytes.
--- a/src/libcaraway/membership/membership_timers.cpp
+++ b/src/libcaraway/membership/membership_timers.cpp
@@ -103,13 +103,13 @@
         return;
     }
     next_probe_ = now + current_probe_period();
-    const auto eligible = [this](const base::node_id& id)
+    const auto is_eligible = [this](const base::node_id& id)
     {
         const member* candidate = table_.find(id);
         return candidate != nullptr && id != self_.id && candidate->judged != verdict::dead &&
                candidate->announced != announced_state::left;
     };
-    if (const auto id = probe_order_.next([this] { return table_.live(self_.id); }, eligible))
+    if (const auto id = probe_order_.next([this] { return table_.live(self_.id); }, is_eligible))
     {
         const member& target = *table_.find(*id);
         const auto sequence = probes_.start(target.node, now);
@@ -196,7 +196,8 @@
 struct membership::rejoin_target
 {
     endpoint address;
-    /// The incarnation is left open, since the node may have restarted. Empty for a seed.
+    /// The incarnation is left empty, since the node may have restarted; for a seed the id is
+    /// empty, too.
     base::node_ref node;
 };
 
