--- a/src/carawayd/admin/change_json.cpp
+++ b/src/carawayd/admin/change_json.cpp
@@ -23,9 +23,9 @@
     QJsonObject change = record_json(result.change);
     change["approvals_counted"] = static_cast<qint64>(result.approvals);
     change["approvals_required"] = static_cast<qint64>(result.required);
-    if (result.accepted_as)
+    if (result.accepted_version)
     {
-        change["version"] = static_cast<qint64>(*result.accepted_as);
+        change["version"] = static_cast<qint64>(*result.accepted_version);
     }
     return change;
 }
--- a/src/carawayd/configuration/configuration_keeper.cpp
+++ b/src/carawayd/configuration/configuration_keeper.cpp
@@ -90,7 +90,8 @@
         return;
     }
     head_version_ = head.value().version;
-    offer({.version = head.value().version, .hash = head.value().hash}, config::voucher::platform);
+    offer({.version = head.value().version, .hash = head.value().hash},
+          config::version_source::platform);
 }
 
 void configuration_keeper::on_peer_version(const base::node_id& node, base::config_version version,
@@ -105,7 +106,7 @@
     {
         add_holder(node, heard);
     }
-    offer(heard, config::voucher::peer);
+    offer(heard, config::version_source::peer);
 }
 
 void configuration_keeper::add_holder(const base::node_id& node, const config::version_ref& heard)
@@ -131,7 +132,7 @@
     }
 }
 
-void configuration_keeper::offer(const config::version_ref& heard, config::voucher by)
+void configuration_keeper::offer(const config::version_ref& heard, config::version_source by)
 {
     const auto wanted = tracker_.offer(heard, by);
     if (!wanted)
--- a/src/carawayd/configuration/configuration_keeper.hpp
+++ b/src/carawayd/configuration/configuration_keeper.hpp
@@ -137,7 +137,7 @@
     void schedule_poll();
     void take_head(const caraway::base::result<caraway::net::platform_row>& row);
     void add_holder(const caraway::base::node_id& node, const caraway::config::version_ref& heard);
-    void offer(const caraway::config::version_ref& heard, caraway::config::voucher by);
+    void offer(const caraway::config::version_ref& heard, caraway::config::version_source by);
     void fetch(const caraway::config::version_ref& wanted);
     void take_document(const caraway::config::version_ref& wanted,
                        const caraway::base::result<QByteArray>& bytes);
@@ -147,7 +147,7 @@
     void note(const caraway::base::error& problem);
 
     void run(const caraway::config::sha256_hex& key_hash,
-             decltype(caraway::config::command::what) what, command_callback done);
+             decltype(caraway::config::command::operation) what, command_callback done);
     void take_outcome(caraway::base::result<command_outcome> outcome, const command_callback& done);
     void take_accepted(const command_outcome& outcome);
 
--- a/src/carawayd/configuration/keeper_commands.cpp
+++ b/src/carawayd/configuration/keeper_commands.cpp
@@ -60,12 +60,12 @@
 }
 
 void configuration_keeper::run(const config::sha256_hex& key_hash,
-                               decltype(config::command::what) what, command_callback done)
+                               decltype(config::command::operation) what, command_callback done)
 {
     ++commands_running_;
     const auto started = std::make_shared<command_run>(
         config::command{
-            .key_hash = key_hash, .at = rfc3339(clock_.wall_time()), .what = std::move(what)},
+            .key_hash = key_hash, .at = rfc3339(clock_.wall_time()), .operation = std::move(what)},
         config::acceptance_options{.bootstrap = options_.bootstrap,
                                    .newest_known =
                                        current() ? current()->version : base::config_version{}},
@@ -105,18 +105,18 @@
 // accepted version from being in force here and handed on to the peers.
 void configuration_keeper::take_accepted(const command_outcome& outcome)
 {
-    if (!outcome.result.accepted_as)
+    if (!outcome.result.accepted_version)
     {
         return;
     }
-    const config::version_ref accepted{.version = *outcome.result.accepted_as,
+    const config::version_ref accepted{.version = *outcome.result.accepted_version,
                                        .hash = outcome.result.change.hash};
     if (!outcome.document)
     {
-        offer(accepted, config::voucher::platform);
+        offer(accepted, config::version_source::platform);
         return;
     }
-    const auto heard = tracker_.offer(accepted, config::voucher::platform);
+    const auto heard = tracker_.offer(accepted, config::version_source::platform);
     if (!heard)
     {
         note(heard.error());
--- a/src/carawayd/configuration/keeper_dump.cpp
+++ b/src/carawayd/configuration/keeper_dump.cpp
@@ -30,7 +30,7 @@
     if (retry_scheduled_)
     {
         return "the next attempt to get the document of version " +
-               std::to_string(number(tracker_.newest_heard()));
+               std::to_string(number(tracker_.newest_known()));
     }
     if (refused_)
     {
@@ -50,7 +50,7 @@
 {
     QJsonObject state{{"in_force", number(current() ? current()->version : base::config_version{})},
                       {"hash", QString::fromStdString(current() ? current()->hash : "")},
-                      {"newest_heard", number(tracker_.newest_heard())},
+                      {"newest_heard", number(tracker_.newest_known())},
                       {"waits_for", QString::fromStdString(waits_for())},
                       {"last_problem", QString::fromStdString(last_problem_)},
                       {"commands_running", static_cast<qint64>(commands_running_)}};
--- a/src/libcaraway/config/acceptance.cpp
+++ b/src/libcaraway/config/acceptance.cpp
@@ -19,7 +19,7 @@
 const base::change_id& change_of(const command& asked)
 {
     return std::visit([](const auto& one) -> const base::change_id& { return one.change; },
-                      asked.what);
+                      asked.operation);
 }
 
 }  // namespace
@@ -150,11 +150,11 @@
                     "no operator of version " + text(head_.version) + " has this key");
     }
     actor_ = *known;
-    if (!change_rev_ && !std::holds_alternative<propose_command>(asked_.what))
+    if (!change_rev_ && !std::holds_alternative<propose_command>(asked_.operation))
     {
         return fail(base::errc::not_found, "there is no change \"" + change_of(asked_).str() + '"');
     }
-    return std::visit([this](const auto& asked) { return carry_out(asked); }, asked_.what);
+    return std::visit([this](const auto& asked) { return carry_out(asked); }, asked_.operation);
 }
 
 acceptance_step acceptance::carry_out(const propose_command& asked)
@@ -387,10 +387,10 @@
 acceptance_step acceptance::done() const
 {
     acceptance_result result{
-        .change = change_, .approvals = approvals_, .required = required_, .accepted_as = {}};
+        .change = change_, .approvals = approvals_, .required = required_, .accepted_version = {}};
     if (change_.state == change_state::accepted)
     {
-        result.accepted_as = next(change_.base_version);
+        result.accepted_version = next(change_.base_version);
     }
     return result;
 }
--- a/src/libcaraway/config/acceptance.hpp
+++ b/src/libcaraway/config/acceptance.hpp
@@ -26,7 +26,7 @@
     std::uint32_t approvals = 0;
     std::uint32_t required = 0;
     /// The version that the change became.
-    std::optional<base::config_version> accepted_as;
+    std::optional<base::config_version> accepted_version;
 };
 
 struct acceptance_options
--- a/src/libcaraway/config/command.hpp
+++ b/src/libcaraway/config/command.hpp
@@ -49,7 +49,7 @@
     sha256_hex key_hash;
     /// Time to note in the rows, RFC 3339.
     std::string at;
-    std::variant<propose_command, approve_command, reject_command, settle_command> what;
+    std::variant<propose_command, approve_command, reject_command, settle_command> operation;
 };
 
 }  // namespace caraway::config
--- a/src/libcaraway/config/cross_checks.cpp
+++ b/src/libcaraway/config/cross_checks.cpp
@@ -27,7 +27,7 @@
 public:
     explicit checker(const configuration& proposed) : proposed_(proposed) {}
 
-    std::vector<cross_fault> run()
+    std::vector<cross_check_error> run()
     {
         check_workspaces();
         check_services();
@@ -141,13 +141,13 @@
     }
 
     const configuration& proposed_;
-    std::vector<cross_fault> faults_;
+    std::vector<cross_check_error> faults_;
     std::map<sha256_hex, std::string> keys_;
 };
 
 }  // namespace
 
-std::vector<cross_fault> cross_check(const configuration& proposed)
+std::vector<cross_check_error> cross_check(const configuration& proposed)
 {
     return checker(proposed).run();
 }
--- a/src/libcaraway/config/cross_checks.hpp
+++ b/src/libcaraway/config/cross_checks.hpp
@@ -9,7 +9,7 @@
 {
 
 /// A rule broken between the parts of a configuration, which no schema can express.
-struct cross_fault
+struct cross_check_error
 {
     std::string pointer;
     std::string message;
@@ -17,7 +17,7 @@
 
 /// Checks that names lead somewhere, that addresses and keys are not used twice, and that the
 /// operators can still change the configuration afterwards.
-std::vector<cross_fault> cross_check(const configuration& proposed);
+std::vector<cross_check_error> cross_check(const configuration& proposed);
 
 /// Whether this is an IPv4 or IPv6 address in its usual notation.
 bool is_ip_address(const std::string& text);
--- a/src/libcaraway/config/daemon_settings.cpp
+++ b/src/libcaraway/config/daemon_settings.cpp
@@ -227,9 +227,9 @@
 }
 
 /// Rules that the schema can't express.
-std::vector<cross_fault> check(const QJsonObject& json)
+std::vector<cross_check_error> check(const QJsonObject& json)
 {
-    std::vector<cross_fault> faults;
+    std::vector<cross_check_error> faults;
     if (json.contains("fleet_key") == json.contains("fleet_key_file"))
     {
         faults.push_back({"/fleet_key", "expected either fleet_key or fleet_key_file"});
@@ -324,8 +324,8 @@
             {file, "", "expected at most " + std::to_string(limits.file_bytes) + " bytes"});
         return report;
     }
-    json_reading read = read_strict_json(bytes, limits.depth);
-    for (json_fault& fault : read.faults)
+    json_parse_result read = parse_strict_json(bytes, limits.depth);
+    for (json_error& fault : read.faults)
     {
         report.found.push_back({file, std::move(fault.pointer), std::move(fault.message)});
     }
@@ -342,7 +342,7 @@
     {
         report.found.push_back({file, std::move(one.pointer), std::move(one.message)});
     }
-    for (cross_fault& fault : check(json))
+    for (cross_check_error& fault : check(json))
     {
         report.found.push_back({file, std::move(fault.pointer), std::move(fault.message)});
     }
--- a/src/libcaraway/config/document.cpp
+++ b/src/libcaraway/config/document.cpp
@@ -60,10 +60,10 @@
         return base::make_error(base::errc::corrupt, "document's bytes have the hash " + found +
                                                          "; expected " + expected);
     }
-    const json_reading read = read_strict_json(bytes, max_depth);
+    const json_parse_result read = parse_strict_json(bytes, max_depth);
     if (!read.faults.empty())
     {
-        const json_fault& fault = read.faults.front();
+        const json_error& fault = read.faults.front();
         return base::make_error(base::errc::invalid_argument, fault.pointer + ": " + fault.message);
     }
     const auto violations = check_schema(schema_name::configuration, *read.object);
@@ -97,7 +97,7 @@
     {
         return report;
     }
-    for (cross_fault& fault : cross_check(configuration_from_json(files.content)))
+    for (cross_check_error& fault : cross_check(configuration_from_json(files.content)))
     {
         if (!overlaps_any(fault.pointer, violations))
         {
--- a/src/libcaraway/config/merge.cpp
+++ b/src/libcaraway/config/merge.cpp
@@ -131,8 +131,8 @@
                 {file.name, "", "expected at most " + bytes_text(limits.file_bytes)});
             continue;
         }
-        json_reading read = read_strict_json(file.bytes, limits.depth);
-        for (json_fault& fault : read.faults)
+        json_parse_result read = parse_strict_json(file.bytes, limits.depth);
+        for (json_error& fault : read.faults)
         {
             whole.found.push_back({file.name, std::move(fault.pointer), std::move(fault.message)});
         }
--- a/src/libcaraway/config/strict_json.cpp
+++ b/src/libcaraway/config/strict_json.cpp
@@ -43,7 +43,7 @@
     {
         return too_deep_;
     }
-    const std::vector<json_fault>& faults() const
+    const std::vector<json_error>& faults() const
     {
         return faults_;
     }
@@ -138,7 +138,7 @@
     qsizetype at_ = 0;
     bool too_deep_ = false;
     std::vector<frame> frames_;
-    std::vector<json_fault> faults_;
+    std::vector<json_error> faults_;
 };
 
 std::string place(const QByteArray& bytes, qsizetype offset)
@@ -151,7 +151,7 @@
 
 }  // namespace
 
-json_reading read_strict_json(const QByteArray& bytes, int max_depth)
+json_parse_result parse_strict_json(const QByteArray& bytes, int max_depth)
 {
     QJsonParseError failure;
     const QJsonDocument parsed = QJsonDocument::fromJson(bytes, &failure);
@@ -169,7 +169,7 @@
     }
     structure_scan scan(bytes, max_depth);
     scan.run();
-    json_reading read{.object = std::nullopt, .faults = scan.faults()};
+    json_parse_result read{.object = std::nullopt, .faults = scan.faults()};
     if (!scan.too_deep())
     {
         read.object = parsed.object();
--- a/src/libcaraway/config/strict_json.hpp
+++ b/src/libcaraway/config/strict_json.hpp
@@ -11,7 +11,7 @@
 {
 
 /// What is wrong at one place of a JSON text.
-struct json_fault
+struct json_error
 {
     std::string pointer;
     std::string message;
@@ -19,15 +19,15 @@
 
 /// What was read, and all that is wrong with it. With members that stand twice there is an object
 /// too, so that its other faults can be reported along with them.
-struct json_reading
+struct json_parse_result
 {
     std::optional<QJsonObject> object;
-    std::vector<json_fault> faults;
+    std::vector<json_error> faults;
 };
 
 /// Parses a JSON object and refuses what Qt's parser lets pass: it keeps the last of two members of
 /// one name and says nothing, so that half of what an operator wrote would be ignored silently.
 /// Nesting deeper than `max_depth` is refused too.
-json_reading read_strict_json(const QByteArray& bytes, int max_depth);
+json_parse_result parse_strict_json(const QByteArray& bytes, int max_depth);
 
 }  // namespace caraway::config
--- a/src/libcaraway/config/version_tracker.cpp
+++ b/src/libcaraway/config/version_tracker.cpp
@@ -24,7 +24,7 @@
 }  // namespace
 
 base::result<std::optional<version_ref>> version_tracker::offer(const version_ref& heard,
-                                                                voucher by)
+                                                                version_source by)
 {
     const std::optional<version_ref> nothing;
     if (heard.version == base::config_version{})
@@ -49,7 +49,7 @@
     return std::optional<version_ref>(heard);
 }
 
-base::result<void> version_tracker::remember(const version_ref& heard, voucher by)
+base::result<void> version_tracker::remember(const version_ref& heard, version_source by)
 {
     const auto [known, is_new] =
         heard_.try_emplace(heard.version, heard_version{.hash = heard.hash, .by = by});
@@ -64,7 +64,7 @@
         return base::success();
     }
     // Two peers that contradict each other: only the platform can tell which one is right.
-    if (by != voucher::platform || known->second.by == voucher::platform)
+    if (by != version_source::platform || known->second.by == version_source::platform)
     {
         return two_documents({heard.version, known->second.hash}, heard);
     }
@@ -115,7 +115,7 @@
     return version_ref{.version = newest->first, .hash = newest->second.hash};
 }
 
-base::config_version version_tracker::newest_heard() const
+base::config_version version_tracker::newest_known() const
 {
     if (!heard_.empty())
     {
--- a/src/libcaraway/config/version_tracker.hpp
+++ b/src/libcaraway/config/version_tracker.hpp
@@ -13,7 +13,7 @@
 {
 
 /// Who says that a version is the accepted one.
-enum class voucher
+enum class version_source
 {
     peer,
     platform,  ///< The head row itself; outranks a peer.
@@ -35,7 +35,7 @@
 public:
     /// Hears of an accepted version. Gives back what to fetch, from the object store or from a
     /// peer; nothing when that is in force, older, or on its way already.
-    base::result<std::optional<version_ref>> offer(const version_ref& heard, voucher by);
+    base::result<std::optional<version_ref>> offer(const version_ref& heard, version_source by);
 
     /// The bytes of a document have arrived, from wherever. In force if they match the hash that
     /// was vouched for and the version is newer than what is; else nothing changes and the error
@@ -65,20 +65,20 @@
         return document_;
     }
     /// The newest version heard of, in force or not; 0 when none.
-    base::config_version newest_heard() const;
+    base::config_version newest_known() const;
 
 private:
     struct heard_version
     {
         sha256_hex hash;
-        voucher by = voucher::peer;
+        version_source by = version_source::peer;
         bool fetching = false;
     };
 
     /// Versions above the one in force that were heard of and not yet put in force.
     static constexpr std::size_t most_heard = 8;
 
-    base::result<void> remember(const version_ref& heard, voucher by);
+    base::result<void> remember(const version_ref& heard, version_source by);
     bool newer_is_on_its_way(base::config_version than) const;
 
     std::map<base::config_version, heard_version> heard_;
--- a/tests/config/acceptance_property_test.cpp
+++ b/tests/config/acceptance_property_test.cpp
@@ -143,9 +143,9 @@
     {
         if (const auto* result = std::get_if<acceptance_result>(&*mover.next))
         {
-            if (result->accepted_as)
+            if (result->accepted_version)
             {
-                told_accepted_.emplace(result->change.id, *result->accepted_as);
+                told_accepted_.emplace(result->change.id, *result->accepted_version);
             }
             mover.machine.reset();
         }
--- a/tests/config/acceptance_test.cpp
+++ b/tests/config/acceptance_test.cpp
@@ -103,7 +103,7 @@
 {
     fake_platform platform;
     const auto first = result_of(run(platform, propose("root", "first", v0, sample_json())));
-    BOOST_TEST_REQUIRE((first.accepted_as == v1));
+    BOOST_TEST_REQUIRE((first.accepted_version == v1));
     return platform;
 }
 
@@ -177,7 +177,7 @@
     fake_platform platform = started();
     const auto proposed = result_of(run(platform, propose("ana", "c", v1, without_dipu)));
     BOOST_TEST(proposed.required == 2U);
-    BOOST_TEST(!proposed.accepted_as);
+    BOOST_TEST(!proposed.accepted_version);
     BOOST_TEST(error_of(run(platform, approve("ana", "c", v1, without_dipu))) ==
                errc::permission_denied);
     BOOST_TEST(error_of(run(platform, approve("dipu", "c", v1, without_dipu))) ==
@@ -185,12 +185,12 @@
     BOOST_TEST(error_of(run(platform, approve("stranger", "c", v1, without_dipu))) ==
                errc::unauthenticated);
     BOOST_TEST(result_of(run(platform, approve("bela", "c", v1, without_dipu))).approvals == 1U);
-    BOOST_TEST(!result_of(run(platform, approve("bela", "c", v1, without_dipu))).accepted_as);
+    BOOST_TEST(!result_of(run(platform, approve("bela", "c", v1, without_dipu))).accepted_version);
     BOOST_TEST(!result_of(run(platform, {key("ana"), "t", settle_command{base::change_id("c")}}))
-                    .accepted_as);
+                    .accepted_version);
     BOOST_TEST((platform.head().version == v1));
-    BOOST_TEST(
-        (result_of(run(platform, approve("chitra", "c", v1, without_dipu))).accepted_as == v2));
+    BOOST_TEST((
+        result_of(run(platform, approve("chitra", "c", v1, without_dipu))).accepted_version == v2));
     BOOST_TEST(platform.log().back().approvers.size() == 2U);
 }
 
@@ -216,7 +216,7 @@
     result_of(run(platform, propose("ana", "c", v1, with_slots)));
     BOOST_TEST(error_of(run(platform, approve("bela", "c", v1, share_2))) == errc::conflict);
     BOOST_TEST(error_of(run(platform, approve("bela", "c", v2, with_slots))) == errc::conflict);
-    BOOST_TEST((result_of(run(platform, propose("ana", "d", v1, share_2))).accepted_as == v2));
+    BOOST_TEST((result_of(run(platform, propose("ana", "d", v1, share_2))).accepted_version == v2));
     BOOST_TEST(error_of(run(platform, approve("bela", "c", v1, with_slots))) == errc::conflict);
     BOOST_TEST(error_of(run(platform, propose("ana", "e", v1, with_slots))) == errc::conflict);
     // A forged row: approvals for something else, by the proposer, or by who may not, don't count.
@@ -247,7 +247,7 @@
     BOOST_TEST(error_of(run(platform, approve("chitra", "c", v1, with_slots))) == errc::conflict);
     result_of(run(platform, propose("ana", "d", v1, share_2)));
     BOOST_TEST(error_of(run(platform, reject("ana", "d"))) == errc::conflict);
-    BOOST_TEST((result_of(run(platform, propose("ana", "d", v1, share_2))).accepted_as == v2));
+    BOOST_TEST((result_of(run(platform, propose("ana", "d", v1, share_2))).accepted_version == v2));
 }
 
 // Symptom: an accepted change is reported as failed, or is accepted twice. Sequence: the reply to
@@ -263,7 +263,7 @@
             result_of(run(platform, propose("ana", "c", v1, with_slots)));
             run(platform, approve("bela", "c", v1, with_slots), at, broken);
             const auto again = result_of(run(platform, approve("bela", "c", v1, with_slots)));
-            BOOST_TEST((again.accepted_as == v2));
+            BOOST_TEST((again.accepted_version == v2));
             BOOST_TEST(platform.log().size() == 2U);
             BOOST_TEST(platform.log().back().change.str() == "c");
         }
@@ -302,7 +302,7 @@
     result_of(run(platform, approve("chitra", "free", v1, free_rules)));
     const int transaction = 6;
     const auto step = run(platform, propose("ana", "leave", v2, without_ana), transaction, lost);
-    BOOST_TEST((result_of(step).accepted_as == base::config_version{3}));
+    BOOST_TEST((result_of(step).accepted_version == base::config_version{3}));
 }
 
 // Symptom: a document that nobody can read is in force. Cause: the object was written only in part.
@@ -315,7 +315,7 @@
     BOOST_TEST(error_of(run(platform, approve("bela", "c", v1, with_slots))) == errc::corrupt);
     BOOST_TEST((platform.head().version == v1));
     const auto healed = result_of(run(platform, propose("ana", "c", v1, with_slots)));
-    BOOST_TEST((healed.accepted_as == v2));  // Bela's approval was noted already.
+    BOOST_TEST((healed.accepted_version == v2));  // Bela's approval was noted already.
 }
 
 // Symptom: the fleet goes back to version 1. Cause: the platform's table was emptied or restored
@@ -358,8 +358,8 @@
     const auto check =
         [](const fake_platform& platform, const acceptance_step& a, const acceptance_step& b)
     {
-        BOOST_TEST_REQUIRE((result_of(a).accepted_as == v2));
-        BOOST_TEST_REQUIRE((result_of(b).accepted_as == v2));
+        BOOST_TEST_REQUIRE((result_of(a).accepted_version == v2));
+        BOOST_TEST_REQUIRE((result_of(b).accepted_version == v2));
         BOOST_TEST_REQUIRE(platform.log().size() == 2U);
     };
     fake_platform platform = started();
--- a/tests/config/version_tracker_test.cpp
+++ b/tests/config/version_tracker_test.cpp
@@ -29,7 +29,8 @@
 const published v2 = version(2);
 const published v3 = version(3);
 
-bool fetches(version_tracker& tracker, const version_ref& heard, voucher by = voucher::peer)
+bool fetches(version_tracker& tracker, const version_ref& heard,
+             version_source by = version_source::peer)
 {
     const auto offered = tracker.offer(heard, by);
     return offered && offered.value() == heard;
@@ -51,7 +52,7 @@
     version_tracker tracker;
     BOOST_TEST_REQUIRE(take(tracker, v2));
     BOOST_TEST(!fetches(tracker, v1.ref));
-    BOOST_TEST(!fetches(tracker, v1.ref, voucher::platform));
+    BOOST_TEST(!fetches(tracker, v1.ref, version_source::platform));
     BOOST_TEST(tracker.fetched(v1.ref.version, v1.bytes).has_error());
     BOOST_TEST((tracker.in_force()->version == v2.ref.version));
     BOOST_TEST(take(tracker, v3));
@@ -64,7 +65,7 @@
     version_tracker tracker;
     BOOST_TEST_REQUIRE(take(tracker, v2));
     const version_ref forged{v2.ref.version, v3.ref.hash};
-    const auto refused = tracker.offer(forged, voucher::platform);
+    const auto refused = tracker.offer(forged, version_source::platform);
     BOOST_TEST_REQUIRE(refused.has_error());
     BOOST_TEST((refused.error().code == errc::corrupt));
     BOOST_TEST(tracker.in_force()->hash == v2.ref.hash);
@@ -77,9 +78,9 @@
     version_tracker tracker;
     const version_ref wrong{v2.ref.version, v3.ref.hash};
     BOOST_TEST(fetches(tracker, wrong));
-    BOOST_TEST(tracker.offer(v2.ref, voucher::peer).has_error());
-    BOOST_TEST(fetches(tracker, v2.ref, voucher::platform));
-    BOOST_TEST(tracker.offer(wrong, voucher::peer).has_error());
+    BOOST_TEST(tracker.offer(v2.ref, version_source::peer).has_error());
+    BOOST_TEST(fetches(tracker, v2.ref, version_source::platform));
+    BOOST_TEST(tracker.offer(wrong, version_source::peer).has_error());
     BOOST_TEST(tracker.fetched(v2.ref.version, v3.bytes).has_error());
     BOOST_TEST(fetches(tracker, v2.ref));
     BOOST_TEST(tracker.fetched(v2.ref.version, v2.bytes).has_value());
@@ -103,7 +104,7 @@
 BOOST_AUTO_TEST_CASE(a_cold_router_is_ready_only_with_a_version_that_was_vouched_for)
 {
     version_tracker tracker;
-    BOOST_TEST(!tracker.offer({}, voucher::platform).value());
+    BOOST_TEST(!tracker.offer({}, version_source::platform).value());
     BOOST_TEST(tracker.fetched(v1.ref.version, v1.bytes).has_error());
     BOOST_TEST(!tracker.ready());
     BOOST_TEST(fetches(tracker, v3.ref));
@@ -112,7 +113,7 @@
     tracker.fetch_failed(v3.ref);
     BOOST_TEST(take(tracker, v2));
     BOOST_TEST(tracker.ready());
-    BOOST_TEST((tracker.newest_heard() == v3.ref.version));
+    BOOST_TEST((tracker.newest_known() == v3.ref.version));
     BOOST_TEST((tracker.retry() == v3.ref));
 }
 
--- a/tests/platform/test_keeper.cpp
+++ b/tests/platform/test_keeper.cpp
@@ -65,14 +65,14 @@
     BOOST_TEST(
         wait_until([&] { return waits_for(b) == "the first configuration to be accepted"; }));
 
-    BOOST_TEST(!a.propose("ana", "first", 0, first).value().result.accepted_as);
+    BOOST_TEST(!a.propose("ana", "first", 0, first).value().result.accepted_version);
     BOOST_TEST_REQUIRE(open_changes().size() == 1U);
     BOOST_TEST((a.approve("ana", "first", 0, first).error().code == errc::permission_denied));
     BOOST_TEST((a.approve("bela", "first", 0, second).error().code == errc::conflict));
     BOOST_TEST(a.in_force.empty());
 
     const auto accepted = a.approve("bela", "first", 0, first);
-    BOOST_TEST((accepted.value().result.accepted_as == base::config_version{1}));
+    BOOST_TEST((accepted.value().result.accepted_version == base::config_version{1}));
     // At once, not at the next read of the head row.
     BOOST_TEST((a.in_force == std::vector<std::uint64_t>{1}));
     BOOST_TEST(b.wait_for(1));
@@ -244,12 +244,12 @@
     BOOST_TEST_REQUIRE(a.propose("ana", "first", 0, first).has_value());
     platform.control({{"table", QJsonObject{{"lose_replies", 2}}}});
     const auto accepted = a.approve("bela", "first", 0, first);
-    BOOST_TEST((accepted.value().result.accepted_as == base::config_version{1}));
+    BOOST_TEST((accepted.value().result.accepted_version == base::config_version{1}));
     BOOST_TEST((a.in_force == std::vector<std::uint64_t>{1}));
     BOOST_TEST(platform.count("table", "TransactWriteItems") == 1);
 
     // Repeated, it says the same again.
-    BOOST_TEST((a.approve("bela", "first", 0, first).value().result.accepted_as ==
+    BOOST_TEST((a.approve("bela", "first", 0, first).value().result.accepted_version ==
                 base::config_version{1}));
     BOOST_TEST(a.in_force.size() == 1U);
 }
