--- a/src/libcaraway/config/acceptance.cpp
+++ b/src/libcaraway/config/acceptance.cpp
@@ -16,22 +16,22 @@
     return std::to_string(static_cast<std::uint64_t>(version));
 }
 
-const base::change_id& change_of(const command& asked)
+const base::change_id& change_id_of(const command& request)
 {
     return std::visit([](const auto& one) -> const base::change_id& { return one.change; },
-                      asked.operation);
+                      request.operation);
 }
 
 }  // namespace
 
-acceptance::acceptance(command asked, acceptance_options options)
-    : asked_(std::move(asked)), options_(std::move(options))
+acceptance::acceptance(command request, acceptance_options options)
+    : command_(std::move(request)), options_(std::move(options))
 {
 }
 
 acceptance_step acceptance::begin()
 {
-    return ask(stage::head, read_row{head_key()});
+    return request_action(stage::head, read_row{head_key()});
 }
 
 acceptance_step acceptance::handle(const platform_reply& reply)
@@ -56,10 +56,10 @@
     return fail(base::errc::internal, "no such stage");
 }
 
-// The head is read before the change. If it already stands above the change's base while the change
-// is still open afterwards, then another change was accepted on that base; read the other way
-// round, a change that is accepted between the two reads would be reported as a conflict with
-// itself.
+// The head is read before the change. If the head's version is already above the change's base and
+// the change is still open when read afterwards, then another change was accepted on that base. In
+// the opposite order, a change that is accepted between the two reads would be reported as a
+// conflict with itself.
 acceptance_step acceptance::on_head(const platform_reply& reply)
 {
     head_ = {};
@@ -76,7 +76,7 @@
     }
     else if (reply.status != reply_status::not_found)
     {
-        return no_answer();
+        return platform_failure();
     }
     if (head_.version < options_.newest_known)
     {
@@ -84,7 +84,7 @@
                                              ", but version " + text(options_.newest_known) +
                                              " is in force here; it has lost accepted versions");
     }
-    return ask(stage::change, read_row{change_key(change_of(asked_))});
+    return request_action(stage::change, read_row{change_key(change_id_of(command_))});
 }
 
 acceptance_step acceptance::on_change(const platform_reply& reply)
@@ -103,20 +103,20 @@
     }
     else if (reply.status != reply_status::not_found)
     {
-        return no_answer();
+        return platform_failure();
     }
     if (actor_ && change_rev_ && change_.state == change_state::accepted)
     {
-        // Ours took effect though its reply was lost. The operator isn't looked up again: the
-        // change may have removed just this account.
-        return done();
+        // This command's write took effect although its reply was lost. The operator isn't looked
+        // up again, because the change may have removed that operator's account.
+        return make_result();
     }
     if (head_.version == base::config_version{})
     {
         accepted_ = bootstrap_state(options_.bootstrap);
         return authorise();
     }
-    return ask(stage::accepted, get_object{object_name(head_.hash)});
+    return request_action(stage::accepted, get_object{object_name(head_.hash)});
 }
 
 acceptance_step acceptance::on_accepted(const platform_reply& reply)
@@ -128,7 +128,7 @@
     }
     if (reply.status != reply_status::ok)
     {
-        return no_answer();
+        return platform_failure();
     }
     auto read = document::from_bytes(reply.object, head_.hash);
     if (!read)
@@ -143,62 +143,63 @@
 
 acceptance_step acceptance::authorise()
 {
-    const operator_account* known = find_operator(accepted_.content, asked_.key_hash);
+    const operator_account* known = find_operator(accepted_.content, command_.key_hash);
     if (known == nullptr)
     {
         return fail(base::errc::unauthenticated,
                     "no operator of version " + text(head_.version) + " has this key");
     }
     actor_ = *known;
-    if (!change_rev_ && !std::holds_alternative<propose_command>(asked_.operation))
+    if (!change_rev_ && !std::holds_alternative<propose_command>(command_.operation))
     {
-        return fail(base::errc::not_found, "there is no change \"" + change_of(asked_).str() + '"');
+        return fail(base::errc::not_found,
+                    "there is no change \"" + change_id_of(command_).str() + '"');
     }
-    return std::visit([this](const auto& asked) { return carry_out(asked); }, asked_.operation);
+    return std::visit([this](const auto& request) { return execute(request); }, command_.operation);
 }
 
-acceptance_step acceptance::carry_out(const propose_command& asked)
+acceptance_step acceptance::execute(const propose_command& request)
 {
     if (change_rev_)
     {
-        if (refusal why = check_repeat(change_, *actor_, asked))
+        if (refusal refused = check_repeat(change_, *actor_, request))
         {
-            return *std::move(why);
+            return *std::move(refused);
         }
         if (change_.state != change_state::open)
         {
-            return ended();
+            return ended_result();
         }
     }
     else
     {
-        if (refusal why = check_proposal(accepted_, *actor_, asked))
+        if (refusal refused = check_proposal(accepted_, *actor_, request))
         {
-            return *std::move(why);
+            return *std::move(refused);
         }
-        change_.id = asked.change;
-        change_.base_version = asked.base_version;
-        change_.hash = asked.proposed.hash();
+        change_.id = request.change;
+        change_.base_version = request.base_version;
+        change_.hash = request.proposed.hash();
         change_.proposer = actor_->id;
-        change_.note = asked.note;
+        change_.note = request.note;
     }
-    if (refusal why = check_base(accepted_, change_))
+    if (refusal refused = check_base(accepted_, change_))
     {
-        return *std::move(why);
+        return *std::move(refused);
     }
-    return ask(stage::store_proposed,
-               put_object{object_name(asked.proposed.hash()), asked.proposed.bytes()});
+    return request_action(stage::store_proposed, put_object{object_name(request.proposed.hash()),
+                                                            request.proposed.bytes()});
 }
 
-acceptance_step acceptance::carry_out(const approve_command& asked)
+acceptance_step acceptance::execute(const approve_command& request)
 {
     if (change_.state != change_state::open)
     {
-        return ended();
+        return ended_result();
     }
-    if (refusal why = check_approval(accepted_, *actor_, change_, asked))
+    if (refusal refused = check_approval(accepted_, *actor_, change_, request))
     {
-        return *std::move(why);
+        return *std::move(refused);
     }
     if (has_approved(change_, actor_->id))
     {
@@ -207,33 +208,33 @@
     change_.approvals.push_back({.approver = actor_->id,
                                  .hash = change_.hash,
                                  .base_version = change_.base_version,
-                                 .at = asked_.at});
+                                 .at = command_.at});
     return write_change();
 }
 
-acceptance_step acceptance::carry_out(const reject_command& /*asked*/)
+acceptance_step acceptance::execute(const reject_command& /*request*/)
 {
     if (change_.state == change_state::rejected)
     {
-        return done();
+        return make_result();
     }
-    if (refusal why = check_rejection(*actor_, change_))
+    if (refusal refused = check_rejection(*actor_, change_))
     {
-        return *std::move(why);
+        return *std::move(refused);
     }
     change_.state = change_state::rejected;
     return write_change();
 }
 
-acceptance_step acceptance::carry_out(const settle_command& /*asked*/)
+acceptance_step acceptance::execute(const settle_command& /*request*/)
 {
     if (change_.state != change_state::open)
     {
-        return ended();
+        return ended_result();
     }
-    if (refusal why = check_base(accepted_, change_))
+    if (refusal refused = check_base(accepted_, change_))
     {
-        return *std::move(why);
+        return *std::move(refused);
     }
     return read_proposed();
 }
@@ -246,17 +247,19 @@
         return change_rev_ ? read_proposed() : write_change();
     case reply_status::lost:
     case reply_status::conflict:
-        return again(base::errc::unavailable);  // Named by its hash: storing it twice is harmless.
+        return restart(
+            base::errc::unavailable);  // Named by its hash, so storing the document is idempotent.
     case reply_status::not_found:
     case reply_status::unavailable:
         break;
     }
-    return no_answer();
+    return platform_failure();
 }
 
 acceptance_step acceptance::write_change()
 {
-    return ask(stage::write_change, put_row{change_key(change_.id), change_rev_, to_json(change_)});
+    return request_action(stage::write_change,
+                          put_row{change_key(change_.id), change_rev_, to_json(change_)});
 }
 
 acceptance_step acceptance::on_written(const platform_reply& reply)
@@ -267,16 +270,16 @@
     }
     may_have_written_ = true;
     change_rev_ = change_rev_.value_or(0) + 1;
-    return change_.state == change_state::rejected ? done() : read_proposed();
+    return change_.state == change_state::rejected ? make_result() : read_proposed();
 }
 
 acceptance_step acceptance::read_proposed()
 {
-    return ask(stage::read_proposed, get_object{object_name(change_.hash)});
+    return request_action(stage::read_proposed, get_object{object_name(change_.hash)});
 }
 
-// What is accepted is what the store gives back, not what was sent: a document that was written
-// only in part must never get into force, and its hash shows it here.
+// The document is accepted as read back from the store, not as sent: a truncated document must
+// never come into force, and the hash check here detects one.
 acceptance_step acceptance::on_proposed(const platform_reply& reply)
 {
     if (reply.status == reply_status::not_found)
@@ -285,7 +288,7 @@
     }
     if (reply.status != reply_status::ok)
     {
-        return no_answer();
+        return platform_failure();
     }
     const auto proposed = document::from_bytes(reply.object, change_.hash);
     if (!proposed)
@@ -300,7 +303,8 @@
     }
     required_ = verdict.value().required;
     approvals_ = static_cast<std::uint32_t>(verdict.value().approvers.size());
-    return verdict.value().is_approved() ? accept(std::move(verdict.value().approvers)) : done();
+    return verdict.value().is_approved() ? accept(std::move(verdict.value().approvers))
+                                         : make_result();
 }
 
 acceptance_step acceptance::accept(std::vector<base::operator_id> approvers)
@@ -310,8 +314,8 @@
                                          .change_rev = change_rev_.value_or(0),
                                          .head_rev = head_rev_,
                                          .approvers = std::move(approvers),
-                                         .at = asked_.at});
-    return ask(stage::accept, std::move(writes));
+                                         .at = command_.at});
+    return request_action(stage::accept, std::move(writes));
 }
 
 acceptance_step acceptance::on_transacted(const platform_reply& reply)
@@ -320,7 +324,7 @@
     {
         return *std::move(failure);
     }
-    return done();
+    return make_result();
 }
 
 std::optional<acceptance_step> acceptance::write_failure(const platform_reply& reply)
@@ -331,32 +335,32 @@
         return std::nullopt;
     case reply_status::lost:
         may_have_written_ = true;
-        return again(base::errc::unknown_effect);
+        return restart(base::errc::unknown_effect);
     case reply_status::conflict:
-        return again(base::errc::conflict);
+        return restart(base::errc::conflict);
     case reply_status::not_found:
     case reply_status::unavailable:
         break;
     }
-    return no_answer();
+    return platform_failure();
 }
 
-acceptance_step acceptance::ended() const
+acceptance_step acceptance::ended_result() const
 {
     if (change_.state == change_state::accepted)
     {
-        return done();
+        return make_result();
     }
     return fail(base::errc::conflict, "the change has been rejected");
 }
 
-acceptance_step acceptance::ask(stage next_stage, platform_action action)
+acceptance_step acceptance::request_action(stage next_stage, platform_action action)
 {
     stage_ = next_stage;
     return action;
 }
 
-acceptance_step acceptance::again(base::errc reason)
+acceptance_step acceptance::restart(base::errc reason)
 {
     if (++rounds_ <= options_.max_rounds)
     {
@@ -364,7 +368,7 @@
     }
     if (may_have_written_ || reason != base::errc::conflict)
     {
-        return no_answer();
+        return platform_failure();
     }
     return fail(base::errc::conflict, "other routers keep writing to this change; try again");
 }
@@ -374,7 +378,7 @@
     return base::make_error(code, std::move(message));
 }
 
-acceptance_step acceptance::no_answer() const
+acceptance_step acceptance::platform_failure() const
 {
     if (may_have_written_)
     {
@@ -384,7 +388,7 @@
     return fail(base::errc::unavailable, "the platform doesn't answer; nothing was written");
 }
 
-acceptance_step acceptance::done() const
+acceptance_step acceptance::make_result() const
 {
     acceptance_result result{
         .change = change_, .approvals = approvals_, .required = required_, .accepted_version = {}};
--- a/src/libcaraway/config/acceptance_writes.cpp
+++ b/src/libcaraway/config/acceptance_writes.cpp
@@ -12,18 +12,18 @@
 
 constexpr std::size_t token_length = 36;
 
-/// Equal for equal writes, so that the table service recognises a repeat of a transaction whose
-/// reply was lost.
-std::string token_of(const std::vector<put_row>& puts)
+/// Idempotency token. Equal for equal writes, so that the table service recognises a repeated
+/// transaction whose reply was lost.
+std::string idempotency_token(const std::vector<put_row>& puts)
 {
-    QByteArray all;
+    QByteArray serialized;
     for (const put_row& put : puts)
     {
-        all += QByteArray::fromStdString(put.key.pk + '|' + put.key.sk + '|') +
-               QByteArray::number(static_cast<qulonglong>(put.expected_rev.value_or(0))) + '|' +
-               put.body + '\n';
+        serialized += QByteArray::fromStdString(put.key.pk + '|' + put.key.sk + '|') +
+                      QByteArray::number(static_cast<qulonglong>(put.expected_rev.value_or(0))) +
+                      '|' + put.body + '\n';
     }
-    return sha256(all).substr(0, token_length);
+    return sha256(serialized).substr(0, token_length);
 }
 
 }  // namespace
@@ -42,7 +42,7 @@
     std::vector<put_row> puts{{head_key(), approved.head_rev, to_json(head)},
                               {change_key(change.id), approved.change_rev, to_json(change)},
                               {log_key(version), std::nullopt, to_json(log)}};
-    std::string token = token_of(puts);
+    std::string token = idempotency_token(puts);
     return {std::move(puts), std::move(token)};
 }
 
--- a/src/libcaraway/config/acceptance_writes.hpp
+++ b/src/libcaraway/config/acceptance_writes.hpp
@@ -11,19 +11,19 @@
 namespace caraway::config
 {
 
-/// A change whose approvals are complete, and the revisions of the rows that this was found by.
+/// A change with all required approvals, and the revisions of the rows that were read for it.
 struct approved_change
 {
     change_record change;
     std::uint64_t change_rev = 0;
-    /// None when there is no accepted configuration yet.
+    /// Empty when there is no accepted configuration yet.
     std::optional<std::uint64_t> head_rev;
     std::vector<base::operator_id> approvers;
-    std::string at;
+    std::string at;  ///< Time of acceptance, RFC 3339.
 };
 
-/// The writes that accept a change: head, change and log, each at the revision that was read, so
-/// that nothing that was decided upon can have altered in between.
+/// The transaction that accepts a change: head, change and log rows, each conditional on the
+/// revision that was read, so that the transaction fails if any input of the decision has changed.
 transact acceptance_writes(const approved_change& approved);
 
 }  // namespace caraway::config
--- a/src/libcaraway/config/bootstrap.hpp
+++ b/src/libcaraway/config/bootstrap.hpp
@@ -9,11 +9,11 @@
 namespace caraway::config
 {
 
-/// Who decides before there is any configuration.
+/// The operators and the approval rule that apply before any configuration is accepted.
 struct bootstrap_options
 {
     std::map<base::operator_id, operator_account> operators;
-    /// Approvals by others that version 1 needs.
+    /// Approvals by operators other than the proposer that version 1 requires.
     std::uint32_t approvals = 0;
 };
 
--- a/src/libcaraway/config/change_rules.cpp
+++ b/src/libcaraway/config/change_rules.cpp
@@ -15,48 +15,48 @@
 namespace
 {
 
-constexpr std::size_t longest_id = 64;
-constexpr std::size_t longest_note = 4096;
+constexpr std::size_t max_id_length = 64;
+constexpr std::size_t max_note_bytes = 4096;
 
 std::string text(base::config_version version)
 {
     return std::to_string(static_cast<std::uint64_t>(version));
 }
 
-bool is_good_id(const base::change_id& id)
+bool is_valid_id(const base::change_id& id)
 {
-    const auto is_good = [](unsigned char c)
+    const auto is_valid_character = [](unsigned char c)
     {
         return std::isalnum(c) != 0 || c == '-' || c == '_';
     };
-    return !id.empty() && id.str().size() <= longest_id &&
-           std::all_of(id.str().begin(), id.str().end(), is_good);
+    return !id.empty() && id.str().size() <= max_id_length &&
+           std::all_of(id.str().begin(), id.str().end(), is_valid_character);
 }
 
-refusal denied(const operator_account& actor, const char* what)
+refusal denied(const operator_account& actor, const char* reason)
 {
-    return base::make_error(base::errc::permission_denied, actor.id.str() + what);
+    return base::make_error(base::errc::permission_denied, actor.id.str() + reason);
 }
 
-refusal first_fault(const document& proposed)
+refusal first_error(const document& proposed)
 {
-    const auto faults = cross_check(proposed.content());
-    if (faults.empty())
+    const auto errors = cross_check(proposed.content());
+    if (errors.empty())
     {
         return std::nullopt;
     }
     return base::make_error(base::errc::invalid_argument,
-                            faults.front().pointer + ": " + faults.front().message);
+                            errors.front().pointer + ": " + errors.front().message);
 }
 
 }  // namespace
 
 accepted_state bootstrap_state(const bootstrap_options& bootstrap)
 {
-    accepted_state made;
-    made.content.operators = bootstrap.operators;
-    made.content.review.push_back({.part = "*", .approvals = bootstrap.approvals});
-    return made;
+    accepted_state state;
+    state.content.operators = bootstrap.operators;
+    state.content.review.push_back({.part = "*", .approvals = bootstrap.approvals});
+    return state;
 }
 
 refusal check_base(const accepted_state& accepted, const change_record& change)
@@ -68,50 +68,51 @@
     return base::make_error(base::errc::conflict, "the change is based on version " +
                                                       text(change.base_version) + ", but version " +
                                                       text(accepted.version) +
-                                                      " is accepted; propose it anew");
+                                                      " is accepted; propose it again");
 }
 
 refusal check_proposal(const accepted_state& accepted, const operator_account& actor,
-                       const propose_command& asked)
+                       const propose_command& request)
 {
     if (!actor.may_propose)
     {
         return denied(actor, " may not propose");
     }
-    if (!is_good_id(asked.change) || asked.note.size() > longest_note)
+    if (!is_valid_id(request.change) || request.note.size() > max_note_bytes)
     {
         return base::make_error(base::errc::invalid_argument,
                                 "expected a change id of at most 64 letters, digits, '-' and '_', "
                                 "and a note of at most 4096 bytes");
     }
-    if (touched_parts(accepted.json, asked.proposed.json()).empty())
+    if (touched_parts(accepted.json, request.proposed.json()).empty())
     {
         return base::make_error(base::errc::invalid_argument,
-                                "nothing differs from version " + text(accepted.version));
+                                "the proposed configuration doesn't differ from version " +
+                                    text(accepted.version));
     }
-    return first_fault(asked.proposed);
+    return first_error(request.proposed);
 }
 
 refusal check_repeat(const change_record& existing, const operator_account& actor,
-                     const propose_command& asked)
+                     const propose_command& request)
 {
-    if (existing.base_version == asked.base_version && existing.hash == asked.proposed.hash() &&
+    if (existing.base_version == request.base_version && existing.hash == request.proposed.hash() &&
         existing.proposer == actor.id)
     {
         return std::nullopt;
     }
-    return base::make_error(base::errc::conflict, "the change id \"" + asked.change.str() +
+    return base::make_error(base::errc::conflict, "the change id \"" + request.change.str() +
                                                       "\" is taken by another change");
 }
 
 refusal check_approval(const accepted_state& accepted, const operator_account& actor,
-                       const change_record& change, const approve_command& asked)
+                       const change_record& change, const approve_command& request)
 {
-    if (asked.hash != change.hash || asked.base_version != change.base_version)
+    if (request.hash != change.hash || request.base_version != change.base_version)
     {
         return base::make_error(base::errc::conflict,
-                                "the approval is for document " + asked.hash + " on version " +
-                                    text(asked.base_version) + "; the change is document " +
+                                "the approval is for document " + request.hash + " on version " +
+                                    text(request.base_version) + "; the change is document " +
                                     change.hash + " on version " + text(change.base_version));
     }
     if (!actor.may_approve)
@@ -129,8 +130,8 @@
 {
     if (change.state == change_state::accepted)
     {
-        return base::make_error(base::errc::conflict,
-                                "accepted already as version " + text(next(change.base_version)));
+        return base::make_error(base::errc::conflict, "the change is already accepted as version " +
+                                                          text(next(change.base_version)));
     }
     if (actor.id != change.proposer && !actor.may_approve)
     {
@@ -148,9 +149,9 @@
         return base::make_error(base::errc::permission_denied,
                                 change.proposer.str() + " may not propose");
     }
-    if (refusal fault = first_fault(proposed))
+    if (refusal error = first_error(proposed))
     {
-        return *std::move(fault);
+        return *std::move(error);
     }
     const auto parts = touched_parts(accepted.json, proposed.json());
     const auto approvers = counted_approvers(accepted.content, change);
--- a/src/libcaraway/config/command.hpp
+++ b/src/libcaraway/config/command.hpp
@@ -11,7 +11,7 @@
 namespace caraway::config
 {
 
-/// Writes a change down, and accepts it at once when the rules ask for nobody else.
+/// Stores a proposed change, and accepts it at once when the rules require no approval.
 struct propose_command
 {
     base::change_id change;
@@ -20,8 +20,8 @@
     std::string note;
 };
 
-/// Approves exactly what the approver has seen, and accepts the change when that was the last
-/// approval needed.
+/// Approves exactly the document and base that the approver has reviewed, and accepts the change
+/// when this completes the required approvals.
 struct approve_command
 {
     base::change_id change;
@@ -29,25 +29,26 @@
     sha256_hex hash;
 };
 
-/// Ends a change: by its proposer, or by anybody who may approve.
+/// Rejects an open change. Allowed for its proposer and for any operator who may approve.
 struct reject_command
 {
     base::change_id change;
 };
 
-/// Accepts a change whose approvals are complete, for instance after a crash in between.
+/// Accepts a change whose approvals are complete, for instance after a crash between the last
+/// approval and the acceptance.
 struct settle_command
 {
     base::change_id change;
 };
 
-/// What an operator asks of the configuration. The key tells who asks; it is looked up in the
-/// accepted configuration, never in the one that the router happens to hold.
+/// A command of an operator on the configuration. The key identifies the operator; it is looked up
+/// in the accepted configuration, never in the one that the router has in force.
 struct command
 {
     /// SHA-256 of the key that the operator presented.
     sha256_hex key_hash;
-    /// Time to note in the rows, RFC 3339.
+    /// Time of the command, RFC 3339; stored in the rows.
     std::string at;
     std::variant<propose_command, approve_command, reject_command, settle_command> operation;
 };
--- a/src/libcaraway/config/configuration.hpp
+++ b/src/libcaraway/config/configuration.hpp
@@ -13,16 +13,16 @@
 namespace caraway::config
 {
 
-/// SHA-256 in lower-case hex; what is stored of a key, and how a document is named.
+/// SHA-256 in lower-case hex. Keys are stored as hashes, and documents are named by their hash.
 using sha256_hex = std::string;
 
-/// A customer's team, its share and the keys that its callers present.
+/// A customer's team: its share and the hashes of its callers' keys.
 struct workspace
 {
     base::workspace_id id;
     base::share weight;
     std::vector<sha256_hex> key_hashes;
-    /// Requests that may wait at one router; more get an immediate answer with Retry-After.
+    /// Requests that may wait at one router; further ones are rejected at once with Retry-After.
     std::uint32_t max_waiting = 256;
     /// Services that may be called; empty means all.
     std::vector<base::service_id> services;
@@ -30,12 +30,12 @@
 
 enum class service_kind
 {
-    model,  ///< OpenAI-compatible; found by the model's name in the request.
-    plain,  ///< Found by the first part of the path, /s/<service>/...
+    model,  ///< OpenAI-compatible; selected by the model's name in the request.
+    plain,  ///< Selected by the first segments of the path, /s/<service>/...
 };
 
-/// Calls of a plain service that may be repeated though their method isn't idempotent by itself, or
-/// must not be though it is.
+/// Overrides for some calls of a plain service whether they may be retried, regardless of the
+/// method's default.
 struct call_rule
 {
     std::string method;       ///< Upper case, or "*".
@@ -43,20 +43,20 @@
     bool idempotent = false;
 };
 
-/// What workspaces call.
+/// A service that workspaces call.
 struct service
 {
     base::service_id id;
     service_kind kind = service_kind::model;
-    /// First rule that matches decides; with none, GET, HEAD, OPTIONS, PUT and DELETE are
+    /// The first matching rule applies; without a match, GET, HEAD, OPTIONS, PUT and DELETE are
     /// idempotent.
     std::vector<call_rule> rules;
-    /// How long a request may take in all, waiting included.
+    /// Limit on a request's total time, including time in the queue.
     std::chrono::milliseconds timeout{120000};
     /// Cost assumed for a request without a hint.
     base::cost default_cost{200};
-    /// Statuses by which this service's upstreams say that they have not started the call, as in
-    /// 429 or 503; empty when their answers don't tell.
+    /// HTTP statuses with which this service's upstreams signal that they have not started the
+    /// call, such as 429 or 503; empty when no status guarantees that.
     std::vector<std::uint16_t> not_started_statuses{};
 };
 
@@ -68,15 +68,16 @@
     std::string host;  ///< IP address.
     std::uint16_t port = 0;
     base::zone_id zone;
-    /// Requests that it runs side by side: a model engine's batch, a plain service's limit.
+    /// Requests that the upstream runs concurrently: a model engine's batch size, a plain service's
+    /// limit.
     base::slots slots = 1;
-    /// Whether it refuses an order with an old fencing number.
+    /// Whether the upstream refuses a request with a stale fencing number.
     bool checks_fencing = false;
-    /// Leaving: finishes what it has and gets nothing new.
+    /// Finishes its requests in flight and gets no new ones.
     bool draining = false;
 };
 
-/// A person who may propose, approve or only look.
+/// A person who may propose or approve changes; with neither permission, read only.
 struct operator_account
 {
     base::operator_id id;
@@ -85,15 +86,15 @@
     bool may_approve = false;
 };
 
-/// How many others must approve a change that touches a part. Parts: "workspaces", "services",
-/// "upstreams", "operators", "review", or "*".
+/// Number of operators other than the proposer who must approve a change of a part. Parts:
+/// "workspaces", "services", "upstreams", "operators", "review", or "*".
 struct review_rule
 {
     std::string part;
     std::uint32_t approvals = 1;
 };
 
-/// One accepted or proposed configuration, merged and checked.
+/// An accepted or proposed configuration, merged from its files and validated.
 struct configuration
 {
     std::map<base::workspace_id, workspace> workspaces;
@@ -103,7 +104,8 @@
     std::vector<review_rule> review;
 };
 
-/// A configuration in force: its version in the order of acceptance and its document's hash.
+/// A configuration in force, with its version (numbered in order of acceptance) and its document's
+/// hash.
 struct accepted_configuration
 {
     base::config_version version{};
--- a/src/libcaraway/config/configuration_json.cpp
+++ b/src/libcaraway/config/configuration_json.cpp
@@ -15,9 +15,9 @@
     return value.toString().toStdString();
 }
 
-std::uint32_t count(const QJsonValue& value, std::uint32_t otherwise)
+std::uint32_t count(const QJsonValue& value, std::uint32_t default_value)
 {
-    const int number = value.toInt(static_cast<int>(otherwise));
+    const int number = value.toInt(static_cast<int>(default_value));
     return static_cast<std::uint32_t>(std::max(number, 0));
 }
 
@@ -87,18 +87,18 @@
             .may_approve = json.value("may_approve").toBool()};
 }
 
-/// Reads the members of one part, each by `read`.
+/// Converts each member of a part with `read`.
 template <class Id, class T>
 std::map<Id, T> read_part(const QJsonObject& part,
                           T (*read)(const std::string&, const QJsonObject&))
 {
-    std::map<Id, T> all;
+    std::map<Id, T> entries;
     for (auto member = part.begin(); member != part.end(); ++member)
     {
         const std::string id = member.key().toStdString();
-        all.emplace(Id(id), read(id, member.value().toObject()));
+        entries.emplace(Id(id), read(id, member.value().toObject()));
     }
-    return all;
+    return entries;
 }
 
 }  // namespace
--- a/src/libcaraway/config/configuration_json.hpp
+++ b/src/libcaraway/config/configuration_json.hpp
@@ -9,12 +9,12 @@
 namespace caraway::config
 {
 
-/// The typed content of a merged configuration. What the schema would refuse is read as its
-/// default, so that the cross checks can run beside the schema's and report all at once; nothing
-/// goes into force from here without both.
+/// Converts a merged configuration to its typed form. A value that violates the schema is replaced
+/// by its default, so that cross checks can run along with the schema check and all problems are
+/// reported at once. A configuration comes into force only after it has passed both.
 configuration configuration_from_json(const QJsonObject& json);
 
-/// Accounts of operators by id, as in the configuration and in the settings.
+/// Operator accounts by id; the configuration and the settings use the same format.
 std::map<base::operator_id, operator_account> operators_from_json(const QJsonObject& json);
 
 }  // namespace caraway::config
--- a/src/libcaraway/config/cross_checks.cpp
+++ b/src/libcaraway/config/cross_checks.cpp
@@ -21,11 +21,11 @@
     return child_pointer(std::string("/") + part, QString::fromStdString(id));
 }
 
-/// The checks, one a function, adding to one list.
-class checker
+/// Runs the checks, one per member function, and collects their errors.
+class cross_checker
 {
 public:
-    explicit checker(const configuration& proposed) : proposed_(proposed) {}
+    explicit cross_checker(const configuration& proposed) : proposed_(proposed) {}
 
     std::vector<cross_check_error> run()
     {
@@ -34,13 +34,13 @@
         check_upstreams();
         check_keys();
         check_review();
-        return std::move(faults_);
+        return std::move(errors_);
     }
 
 private:
     void add(std::string pointer, std::string message)
     {
-        faults_.push_back({std::move(pointer), std::move(message)});
+        errors_.push_back({std::move(pointer), std::move(message)});
     }
 
     void check_workspaces()
@@ -63,7 +63,7 @@
     {
         for (const auto& [id, service] : proposed_.services)
         {
-            // The path /s/<service>/... ends the name at the first slash.
+            // In the path /s/<service>/... the service's id ends at the first slash.
             if (service.kind == service_kind::plain && id.str().find('/') != std::string::npos)
             {
                 add(pointer_to("services", id.str()),
@@ -74,7 +74,7 @@
 
     void check_upstreams()
     {
-        std::map<std::pair<std::string, std::uint16_t>, std::string> seen;
+        std::map<std::pair<std::string, std::uint16_t>, std::string> addresses;
         for (const auto& [id, upstream] : proposed_.upstreams)
         {
             const std::string pointer = pointer_to("upstreams", id.str());
@@ -87,7 +87,8 @@
             {
                 add(pointer + "/host", "expected an IP address; found \"" + upstream.host + '"');
             }
-            const auto [first, is_new] = seen.try_emplace({upstream.host, upstream.port}, pointer);
+            const auto [first, is_new] =
+                addresses.try_emplace({upstream.host, upstream.port}, pointer);
             if (!is_new)
             {
                 add(pointer + "/port",
@@ -100,16 +101,16 @@
     {
         for (const auto& [id, workspace] : proposed_.workspaces)
         {
-            check_keys_of(pointer_to("workspaces", id.str()), workspace.key_hashes);
+            check_unique_keys(pointer_to("workspaces", id.str()), workspace.key_hashes);
         }
         for (const auto& [id, account] : proposed_.operators)
         {
-            check_keys_of(pointer_to("operators", id.str()), account.key_hashes);
+            check_unique_keys(pointer_to("operators", id.str()), account.key_hashes);
         }
     }
 
-    /// One key for two holders would let one act as the other.
-    void check_keys_of(const std::string& holder, const std::vector<sha256_hex>& hashes)
+    /// A key shared by two holders would let one act as the other.
+    void check_unique_keys(const std::string& holder, const std::vector<sha256_hex>& hashes)
     {
         for (std::size_t i = 0; i < hashes.size(); ++i)
         {
@@ -130,7 +131,7 @@
             if (!parts.insert(proposed_.review[i].part).second)
             {
                 add(child_pointer("/review", i) + "/part",
-                    "expected one rule a part; \"" + proposed_.review[i].part + "\" has another");
+                    "expected one rule per part; \"" + proposed_.review[i].part + "\" has another");
             }
         }
         const std::string reason = lockout_reason(proposed_);
@@ -141,7 +142,7 @@
     }
 
     const configuration& proposed_;
-    std::vector<cross_check_error> faults_;
+    std::vector<cross_check_error> errors_;
     std::map<sha256_hex, std::string> keys_;
 };
 
@@ -149,7 +150,7 @@
 
 std::vector<cross_check_error> cross_check(const configuration& proposed)
 {
-    return checker(proposed).run();
+    return cross_checker(proposed).run();
 }
 
 bool is_ip_address(const std::string& text)
--- a/src/libcaraway/config/cross_checks.hpp
+++ b/src/libcaraway/config/cross_checks.hpp
@@ -8,18 +8,18 @@
 namespace caraway::config
 {
 
-/// A rule broken between the parts of a configuration, which no schema can express.
+/// A violation of a rule between parts of a configuration, which a JSON schema can't express.
 struct cross_check_error
 {
     std::string pointer;
     std::string message;
 };
 
-/// Checks that names lead somewhere, that addresses and keys are not used twice, and that the
-/// operators can still change the configuration afterwards.
+/// Checks that referenced names exist, that addresses and keys are unique, and that operators can
+/// still change the configuration after it has come into force.
 std::vector<cross_check_error> cross_check(const configuration& proposed);
 
-/// Whether this is an IPv4 or IPv6 address in its usual notation.
+/// Whether the text is an IPv4 or IPv6 address in its usual notation.
 bool is_ip_address(const std::string& text);
 
 }  // namespace caraway::config
--- a/tests/config/check_test.cpp
+++ b/tests/config/check_test.cpp
@@ -87,7 +87,7 @@
          "/upstreams/z/port", "/upstreams/runner-1 has the same"},
         {"{\"review\": [{\"part\": \"keys\", \"approvals\": 1}]}", "/review/0/part", "one of"},
         {"{\"review\": [{\"part\": \"*\", \"approvals\": 1}, {\"part\": \"*\", \"approvals\": 0}]}",
-         "/review/1/part", "one rule a part"},
+         "/review/1/part", "one rule per part"},
     };
     for (const bad_file& bad : table)
     {
