--- a/src/libcaraway/config/daemon_settings.cpp
+++ b/src/libcaraway/config/daemon_settings.cpp
@@ -19,12 +19,12 @@
 namespace
 {
 
-const char* const hidden = "(not shown)";
-const std::string override_file = "--set";
-constexpr std::uint16_t highest_port = 65535;
+const char* const redacted_value = "(not shown)";
+const std::string override_source = "--set";
+constexpr std::uint16_t max_port = 65535;
 
-/// Sets the value at a pointer, making objects on the way. False when the way leads into a value
-/// that isn't an object; arrays are replaced as a whole.
+/// Sets the value at a pointer and creates missing objects on the path. False when the path passes
+/// through a value that isn't an object; arrays can only be replaced as a whole.
 bool set_at(QJsonObject& object, const std::vector<QString>& steps, std::size_t depth,
             const QJsonValue& value)
 {
@@ -48,7 +48,7 @@
     return true;
 }
 
-/// The value that an override's text stands for; nothing when it begins like JSON but is none.
+/// Parses an override's text; empty when it begins like JSON but is malformed.
 std::optional<QJsonValue> override_value(const QByteArray& text)
 {
     const QByteArray array = '[' + text + ']';
@@ -72,7 +72,7 @@
     return value.toString().toStdString();
 }
 
-/// Reads numbers of one group; what is left out keeps its default.
+/// Reads the members of one group of settings; omitted ones keep their defaults.
 class group_reader
 {
 public:
@@ -82,22 +82,22 @@
     }
 
     template <class Number>
-    void number(const char* member, Number& into) const
+    void number(const char* member, Number& target) const
     {
         const QJsonValue value = group_.value(member);
-        into = value.isDouble() ? static_cast<Number>(value.toInt()) : into;
+        target = value.isDouble() ? static_cast<Number>(value.toInt()) : target;
     }
 
-    void milliseconds(const char* member, std::chrono::milliseconds& into) const
+    void milliseconds(const char* member, std::chrono::milliseconds& target) const
     {
         const QJsonValue value = group_.value(member);
-        into = value.isDouble() ? std::chrono::milliseconds(value.toInt()) : into;
+        target = value.isDouble() ? std::chrono::milliseconds(value.toInt()) : target;
     }
 
-    void string(const char* member, std::string& into) const
+    void string(const char* member, std::string& target) const
     {
         const QJsonValue value = group_.value(member);
-        into = value.isString() ? text(value) : into;
+        target = value.isString() ? text(value) : target;
     }
 
 private:
@@ -157,7 +157,7 @@
     log.format = group.value("format").toString() == "json" ? log_format::json : log_format::text;
 }
 
-/// "address:port", with brackets round an IPv6 address.
+/// Parses "address:port", with brackets around an IPv6 address.
 std::optional<seed_address> read_seed(const std::string& text)
 {
     const auto colon = text.rfind(':');
@@ -176,7 +176,7 @@
     }
     bool is_number = false;
     const int port = QString::fromStdString(text.substr(colon + 1)).toInt(&is_number);
-    if (!is_number || port < 1 || port > highest_port || !is_ip_address(host))
+    if (!is_number || port < 1 || port > max_port || !is_ip_address(host))
     {
         return std::nullopt;
     }
@@ -196,7 +196,7 @@
     return seeds;
 }
 
-daemon_settings typed(const QJsonObject& json)
+daemon_settings settings_from_json(const QJsonObject& json)
 {
     daemon_settings settings;
     settings.node = base::node_id(text(json.value("node")));
@@ -226,13 +226,13 @@
     return settings;
 }
 
-/// Rules that the schema can't express.
-std::vector<cross_check_error> check(const QJsonObject& json)
+/// Checks the rules that the schema can't express.
+std::vector<cross_check_error> cross_check_settings(const QJsonObject& json)
 {
-    std::vector<cross_check_error> faults;
+    std::vector<cross_check_error> errors;
     if (json.contains("fleet_key") == json.contains("fleet_key_file"))
     {
-        faults.push_back({"/fleet_key", "expected either fleet_key or fleet_key_file"});
+        errors.push_back({"/fleet_key", "expected either fleet_key or fleet_key_file"});
     }
     const std::pair<std::string, QJsonValue> addresses[] = {
         {"/address", json.value("address")},
@@ -241,7 +241,7 @@
     {
         if (value.isString() && !is_ip_address(text(value)))
         {
-            faults.push_back({pointer, "expected an IP address; found \"" + text(value) + '"'});
+            errors.push_back({pointer, "expected an IP address; found \"" + text(value) + '"'});
         }
     }
     const QJsonArray seeds = json.value("seeds").toArray();
@@ -249,19 +249,19 @@
     {
         if (seeds.at(i).isString() && !read_seed(text(seeds.at(i))))
         {
-            faults.push_back(
+            errors.push_back(
                 {child_pointer("/seeds", static_cast<std::size_t>(i)),
                  "expected address:port or [address]:port; found \"" + text(seeds.at(i)) + '"'});
         }
     }
-    return faults;
+    return errors;
 }
 
 QJsonObject without_secrets(QJsonObject json)
 {
     if (json.contains("fleet_key"))
     {
-        json["fleet_key"] = hidden;
+        json["fleet_key"] = redacted_value;
     }
     return json;
 }
@@ -272,15 +272,15 @@
     const auto value = override_value(one.value);
     if (!steps || steps->empty())
     {
-        found.push_back({override_file, one.pointer, "expected a JSON pointer to a member"});
+        found.push_back({override_source, one.pointer, "expected a JSON pointer to a member"});
     }
     else if (!value)
     {
-        found.push_back({override_file, one.pointer, "expected a JSON value or a plain word"});
+        found.push_back({override_source, one.pointer, "expected a JSON value or a plain word"});
     }
     else if (!set_at(json, *steps, 0, *value))
     {
-        found.push_back({override_file, one.pointer, "expected a way through objects only"});
+        found.push_back({override_source, one.pointer, "expected a path through objects only"});
     }
 }
 
@@ -325,9 +325,9 @@
         return report;
     }
     json_parse_result read = parse_strict_json(bytes, limits.depth);
-    for (json_error& fault : read.faults)
+    for (json_error& error : read.errors)
     {
-        report.found.push_back({file, std::move(fault.pointer), std::move(fault.message)});
+        report.found.push_back({file, std::move(error.pointer), std::move(error.message)});
     }
     if (!read.object)
     {
@@ -342,14 +342,14 @@
     {
         report.found.push_back({file, std::move(one.pointer), std::move(one.message)});
     }
-    for (cross_check_error& fault : check(json))
+    for (cross_check_error& error : cross_check_settings(json))
     {
-        report.found.push_back({file, std::move(fault.pointer), std::move(fault.message)});
+        report.found.push_back({file, std::move(error.pointer), std::move(error.message)});
     }
     report.redacted = without_secrets(json);
     if (report.found.empty())
     {
-        report.settings = typed(json);
+        report.settings = settings_from_json(json);
     }
     return report;
 }
--- a/src/libcaraway/config/daemon_settings.hpp
+++ b/src/libcaraway/config/daemon_settings.hpp
@@ -17,7 +17,7 @@
 namespace caraway::config
 {
 
-/// Where the daemon listens; 0 takes any free port.
+/// Ports that the daemon listens on; 0 selects any free port.
 struct port_settings
 {
     std::uint16_t callers = 8080;
@@ -25,7 +25,7 @@
     std::uint16_t peers = 7946;  ///< UDP.
 };
 
-/// The platform's table service, object store and VM list, on one port.
+/// Address of the platform's table service, object store and VM list, which share one port.
 struct platform_settings
 {
     std::string host = "127.0.0.1";
@@ -41,27 +41,28 @@
     std::uint32_t header_bytes = 16 << 10;
     std::uint32_t body_bytes = 8 << 20;
     std::uint32_t connections = 4096;
-    /// Requests that one connection may have sent ahead.
+    /// Pipelined requests per connection.
     std::uint32_t pipelined = 8;
     /// From the first byte of a request to the end of its header.
     std::chrono::milliseconds header_timeout{10000};
-    /// Longest pause inside a body.
+    /// Longest pause between two reads of a request's body.
     std::chrono::milliseconds body_timeout{30000};
-    /// A kept connection without a request.
+    /// How long a persistent connection may stay open without a request.
     std::chrono::milliseconds idle_timeout{75000};
-    /// From sending to an upstream to the first byte of its answer.
+    /// From sending a request to an upstream to the first byte of its answer.
     std::chrono::milliseconds first_byte_timeout{60000};
-    /// Longest pause inside an upstream's answer.
+    /// Longest pause between two reads of an upstream's answer.
     std::chrono::milliseconds progress_timeout{30000};
 };
 
 struct scheduling_settings
 {
-    /// Owners that demand is placed with.
+    /// Number of owners that a router registers its demand with.
     std::uint32_t owners_asked = 16;
     /// Requests sent to an upstream beyond its slots.
     std::uint32_t headroom = 1;
-    /// How long reports of changes are gathered, and how often a report is refreshed.
+    /// How long changes are batched before a report, and the interval at which a report is repeated
+    /// without changes.
     std::chrono::milliseconds report_delay{3};
     std::chrono::milliseconds report_refresh{500};
 };
@@ -90,13 +91,13 @@
 
 struct drain_settings
 {
-    /// How long callers may keep an address that they were given.
+    /// How long callers may use an address that they have resolved.
     std::chrono::milliseconds address_lifetime{10000};
-    /// How long requests in flight may take once draining.
+    /// Time limit for requests in flight once the daemon drains.
     std::chrono::milliseconds limit{600000};
 };
 
-/// A peer to find the others by.
+/// Address of a peer through which the other peers are discovered.
 struct seed_address
 {
     std::string host;
@@ -105,15 +106,15 @@
     friend bool operator==(const seed_address&, const seed_address&) = default;
 };
 
-/// Authenticates peers to each other: given in the settings or kept in a file that the process
-/// reads. Exactly one is set.
+/// The key with which peers authenticate each other: inline in the settings, or the path of a file
+/// that contains it. Exactly one of the two is set.
 struct fleet_key_settings
 {
     std::string key;
     std::string file;
 };
 
-/// Settings of one process; read once at the start.
+/// Settings of one process, read once at startup.
 struct daemon_settings
 {
     base::node_id node;
@@ -132,31 +133,32 @@
     drain_settings drain;
 };
 
-/// `--set /ports/callers=8090`: replaces or adds the value at a JSON pointer before the check. Text
-/// that is no JSON value stands for itself, so that plain words need no quotes.
+/// `--set /ports/callers=8090`: replaces or adds the value at a JSON pointer before validation.
+/// Text that isn't JSON is taken as a string, so that plain words need no quotes.
 struct setting_override
 {
     std::string pointer;
     QByteArray value;
 };
 
-/// Splits "pointer=value"; nothing when there is no '=' or the pointer doesn't begin with '/'.
+/// Splits "pointer=value"; empty when there is no '=' or the pointer doesn't begin with '/'.
 std::optional<setting_override> parse_override(const std::string& text);
 
-/// Settings exactly when there is no problem.
+/// Result of reading a settings file; `settings` is set exactly when there is no problem.
 struct settings_report
 {
     std::optional<daemon_settings> settings;
     problems found;
-    /// What was read, overrides applied and secrets hidden.
+    /// The settings as read, with overrides applied and secrets redacted.
     QJsonObject redacted;
 };
 
-/// Checks a settings file. Unknown members are refused; what is left out has its default.
+/// Parses and validates a settings file. Unknown members are refused; omitted ones get their
+/// defaults.
 settings_report read_settings(const std::string& file, const QByteArray& bytes,
                               const std::vector<setting_override>& overrides = {});
 
-/// Everything that the process goes by, defaults included and secrets hidden; for logs and dumps.
+/// All effective settings, including defaults, with secrets redacted; for logs and dumps.
 QJsonObject redacted(const daemon_settings& settings);
 
 }  // namespace caraway::config
--- a/src/libcaraway/config/diff.cpp
+++ b/src/libcaraway/config/diff.cpp
@@ -14,10 +14,10 @@
 namespace
 {
 
-constexpr int shown_of_a_hash = 8;
+constexpr int shown_hash_digits = 8;
 constexpr int hash_length = 64;
 
-/// A value as an operator sees it: hashes only by their beginnings.
+/// A value for display to operators, with key hashes truncated to a prefix.
 QJsonValue shortened(const QJsonValue& value, const QString& member)
 {
     if (value.isObject())
@@ -36,7 +36,7 @@
         for (const QJsonValue hash : value.toArray())
         {
             const QString text = hash.toString();
-            shown.append(text.size() == hash_length ? text.left(shown_of_a_hash) + "..." : text);
+            shown.append(text.size() == hash_length ? text.left(shown_hash_digits) + "..." : text);
         }
         return shown;
     }
@@ -49,7 +49,8 @@
     {
         return {};
     }
-    // QJsonDocument writes only objects and arrays; the brackets come off again.
+    // QJsonDocument serializes only objects and arrays, so the value is wrapped in an array and the
+    // brackets are removed.
     const QByteArray text =
         QJsonDocument(QJsonArray{shortened(value, member)}).toJson(QJsonDocument::Compact);
     return text.mid(1, text.size() - 2).toStdString();
@@ -64,8 +65,8 @@
     return after.isUndefined() ? change_kind::removed : change_kind::changed;
 }
 
-/// Names that either object has, sorted.
-QStringList names_of(const QJsonObject& before, const QJsonObject& after)
+/// Sorted names of the members of either object.
+QStringList member_names(const QJsonObject& before, const QJsonObject& after)
 {
     QStringList names = before.keys() + after.keys();
     names.sort();
@@ -73,13 +74,13 @@
     return names;
 }
 
-/// Compares one part after the other.
+/// Compares two configurations part by part.
 class differ
 {
 public:
     std::vector<difference> run(const QJsonObject& before, const QJsonObject& after)
     {
-        for (const QString& part : names_of(before, after))
+        for (const QString& part : member_names(before, after))
         {
             part_ = part.toStdString();
             const std::string pointer = child_pointer("", part);
@@ -90,31 +91,32 @@
             }
             compare_part(before.value(part).toObject(), after.value(part).toObject(), pointer);
         }
-        return std::move(found_);
+        return std::move(differences_);
     }
 
 private:
     void compare_part(const QJsonObject& before, const QJsonObject& after,
                       const std::string& pointer)
     {
-        for (const QString& id : names_of(before, after))
+        for (const QString& id : member_names(before, after))
         {
-            const std::string place = child_pointer(pointer, id);
+            const std::string member_pointer = child_pointer(pointer, id);
             const QJsonValue old_value = before.value(id);
             const QJsonValue new_value = after.value(id);
             if (old_value.isUndefined() || new_value.isUndefined())
             {
-                compare(old_value, new_value, place, id, id.toStdString());
+                compare(old_value, new_value, member_pointer, id, id.toStdString());
                 continue;
             }
-            compare_members(old_value.toObject(), new_value.toObject(), place, id.toStdString());
+            compare_members(old_value.toObject(), new_value.toObject(), member_pointer,
+                            id.toStdString());
         }
     }
 
     void compare_members(const QJsonObject& before, const QJsonObject& after,
                          const std::string& pointer, const std::string& id)
     {
-        for (const QString& member : names_of(before, after))
+        for (const QString& member : member_names(before, after))
         {
             compare(before.value(member), after.value(member), child_pointer(pointer, member),
                     member, id);
@@ -128,16 +130,16 @@
         {
             return;
         }
-        found_.push_back({.part = part_,
-                          .id = std::move(id),
-                          .kind = kind_of(before, after),
-                          .pointer = std::move(pointer),
-                          .before = compact(before, member),
-                          .after = compact(after, member)});
+        differences_.push_back({.part = part_,
+                                .id = std::move(id),
+                                .kind = kind_of(before, after),
+                                .pointer = std::move(pointer),
+                                .before = compact(before, member),
+                                .after = compact(after, member)});
     }
 
     std::string part_;
-    std::vector<difference> found_;
+    std::vector<difference> differences_;
 };
 
 }  // namespace
@@ -164,7 +166,7 @@
 std::set<std::string> touched_parts(const QJsonObject& before, const QJsonObject& after)
 {
     std::set<std::string> parts;
-    for (const QString& part : names_of(before, after))
+    for (const QString& part : member_names(before, after))
     {
         if (before.value(part) != after.value(part))
         {
--- a/src/libcaraway/config/document.cpp
+++ b/src/libcaraway/config/document.cpp
@@ -19,7 +19,7 @@
 
 const int max_depth = merge_limits().depth;
 
-/// Whether one pointer leads to the other, or into it.
+/// Whether the pointers are equal or one is an ancestor of the other.
 bool overlaps(const std::string& a, const std::string& b)
 {
     const std::string& outer = a.size() < b.size() ? a : b;
@@ -27,7 +27,8 @@
     return inner == outer || inner.starts_with(outer + '/');
 }
 
-/// A cross check on a value that already broke the schema would only repeat that.
+/// Whether a schema violation already covers this value, so that a cross check error on it would
+/// only repeat the problem.
 bool overlaps_any(const std::string& pointer, const std::vector<violation>& violations)
 {
     return std::any_of(violations.begin(), violations.end(),
@@ -61,10 +62,10 @@
                                                          "; expected " + expected);
     }
     const json_parse_result read = parse_strict_json(bytes, max_depth);
-    if (!read.faults.empty())
+    if (!read.errors.empty())
     {
-        const json_error& fault = read.faults.front();
-        return base::make_error(base::errc::invalid_argument, fault.pointer + ": " + fault.message);
+        const json_error& error = read.errors.front();
+        return base::make_error(base::errc::invalid_argument, error.pointer + ": " + error.message);
     }
     const auto violations = check_schema(schema_name::configuration, *read.object);
     if (!violations.empty())
@@ -83,25 +84,26 @@
 check_report check_merged(const merged& files)
 {
     check_report report{.checked = std::nullopt, .found = files.found};
-    // With a file left out, members that it would have given are no fault of the others.
-    const bool is_whole = files.found.empty();
+    // If a file could not be parsed, members that it would have contributed are not reported as
+    // missing.
+    const bool is_complete = files.found.empty();
     const auto violations = check_schema(schema_name::configuration, files.content);
     for (const violation& one : violations)
     {
-        if (is_whole || one.kind != violation_kind::missing_member)
+        if (is_complete || one.kind != violation_kind::missing_member)
         {
             report.found.push_back({files.file_of(one.pointer), one.pointer, one.message});
         }
     }
-    if (!is_whole)
+    if (!is_complete)
     {
         return report;
     }
-    for (cross_check_error& fault : cross_check(configuration_from_json(files.content)))
+    for (cross_check_error& error : cross_check(configuration_from_json(files.content)))
     {
-        if (!overlaps_any(fault.pointer, violations))
+        if (!overlaps_any(error.pointer, violations))
         {
-            report.found.push_back({files.file_of(fault.pointer), fault.pointer, fault.message});
+            report.found.push_back({files.file_of(error.pointer), error.pointer, error.message});
         }
     }
     const QByteArray bytes = QJsonDocument(files.content).toJson(QJsonDocument::Compact);
--- a/src/libcaraway/config/document.hpp
+++ b/src/libcaraway/config/document.hpp
@@ -15,19 +15,20 @@
 namespace caraway::config
 {
 
-/// SHA-256 in lower-case hex; names documents, and is what is stored of a key.
+/// SHA-256 in lower-case hex, as used to name documents and to store keys.
 sha256_hex sha256(const QByteArray& bytes);
 
-/// A whole configuration that has passed every check: its canonical bytes (members sorted, no
-/// spaces), the hash that names it, and its typed content. Immutable.
+/// A complete configuration that has passed the schema: its canonical bytes (members sorted, no
+/// whitespace), the hash that names it, and its typed content. Immutable.
 class document
 {
 public:
-    /// Largest document that is read or written, in bytes.
+    /// Size limit of a document that is read or written.
     static constexpr qsizetype max_bytes = 4 << 20;
 
-    /// Bytes from the object store or from a peer. `corrupt` when they don't match the hash,
-    /// `invalid_argument` when they match but break a rule of the schema.
+    /// Parses bytes from the object store or from a peer. Errors: `corrupt` when they are larger
+    /// than `max_bytes` or don't match the hash, `invalid_argument` when they match but violate the
+    /// schema.
     static base::result<document> from_bytes(const QByteArray& bytes, const sha256_hex& expected);
 
     const QByteArray& bytes() const
@@ -58,15 +59,15 @@
     configuration content_;
 };
 
-/// What a check of a folder found; a document exactly when there is no problem.
+/// Result of checking a folder; `checked` is set exactly when there is no problem.
 struct check_report
 {
     std::optional<document> checked;
     problems found;
 };
 
-/// Merges a folder's files and applies the schema and the cross checks; reports all problems at
-/// once.
+/// Merges a folder's files and applies the schema and the cross checks. Reports all problems, not
+/// only the first.
 check_report check_files(std::vector<source_file> files);
 check_report check_merged(const merged& files);
 
--- a/src/libcaraway/config/expectation.cpp
+++ b/src/libcaraway/config/expectation.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-constexpr int shown_characters = 40;
+constexpr int max_shown_characters = 40;
 
 QJsonObject resolved(const QJsonObject& root, const QJsonObject& subschema)
 {
@@ -93,20 +93,20 @@
     return text;
 }
 
-std::string size_limit(const QJsonObject& subschema, const char* member, const char* what)
+std::string size_limit(const QJsonObject& subschema, const char* member, const char* unit)
 {
     if (!subschema.contains(member))
     {
         return {};
     }
-    return " of at most " + number_text(subschema.value(member)) + what;
+    return " of at most " + number_text(subschema.value(member)) + unit;
 }
 
 }  // namespace
 
 QJsonObject subschema_at(const QJsonObject& root, const std::string& pointer)
 {
-    QJsonObject here = root;
+    QJsonObject current = root;
     const auto steps = pointer_steps(pointer);
     if (!steps)
     {
@@ -114,11 +114,11 @@
     }
     for (const QString& step : *steps)
     {
-        const bool is_array = here.value("type").toString() == "array";
-        here =
-            resolved(root, is_array ? here.value("items").toObject() : member_schema(here, step));
+        const bool is_array = current.value("type").toString() == "array";
+        current = resolved(root, is_array ? current.value("items").toObject()
+                                          : member_schema(current, step));
     }
-    return here;
+    return current;
 }
 
 std::string expectation(const QJsonObject& root, const QJsonObject& subschema)
@@ -166,8 +166,8 @@
     case QJsonValue::String:
     {
         const QString text = value.toString();
-        const bool is_long = text.size() > shown_characters;
-        return '"' + text.left(shown_characters).toStdString() + (is_long ? "...\"" : "\"");
+        const bool is_long = text.size() > max_shown_characters;
+        return '"' + text.left(max_shown_characters).toStdString() + (is_long ? "...\"" : "\"");
     }
     case QJsonValue::Array:
         return "an array of " + std::to_string(value.toArray().size());
--- a/src/libcaraway/config/expectation.hpp
+++ b/src/libcaraway/config/expectation.hpp
@@ -8,18 +8,19 @@
 namespace caraway::config
 {
 
-/// The subschema that holds for the value at a pointer; empty when the schema knows no such place.
+/// The subschema that applies to the value at a pointer; empty when the schema has none for it.
 QJsonObject subschema_at(const QJsonObject& root, const std::string& pointer);
 
-/// What a subschema asks for, in words: "an integer from 1 to 65535".
+/// Describes the values that a subschema permits, such as "an integer from 1 to 65535".
 std::string expectation(const QJsonObject& root, const QJsonObject& subschema);
 
-/// A value in words, shortened. Of a string that the schema marks as a secret ("writeOnly") only
-/// the length is told: a key that stands where its hash belongs must not appear in a log.
+/// Describes a value, shortened. For a string that the schema marks as a secret ("writeOnly") only
+/// the length is given: a key entered in place of its hash must not appear in a log.
 std::string description(const QJsonObject& subschema, const QJsonValue& value);
 
-/// Whether a subschema has a place for this member, and the names of those that it lists.
+/// Whether a subschema permits a member of this name.
 bool allows_member(const QJsonObject& subschema, const QString& member);
+/// Describes the member names that a subschema permits, for error messages.
 std::string listed_members(const QJsonObject& subschema);
 
 }  // namespace caraway::config
--- a/src/libcaraway/config/merge.cpp
+++ b/src/libcaraway/config/merge.cpp
@@ -12,16 +12,16 @@
 namespace
 {
 
-/// Applies files one after the other, and notes where each member came from.
+/// Applies files one after the other, and records which file each member came from.
 class merger
 {
 public:
-    explicit merger(merged& into) : into_(into) {}
+    explicit merger(merged& result) : result_(result) {}
 
     void apply(const QJsonObject& patch, const std::string& file)
     {
-        file_ = file;
-        into_.content = patched(into_.content, patch, "");
+        current_file_ = file;
+        result_.content = patched(result_.content, patch, "");
     }
 
 private:
@@ -31,25 +31,26 @@
         {
             const QString name = member.key();
             const QJsonValue value = member.value();
-            const std::string here = child_pointer(pointer, name);
+            const std::string member_pointer = child_pointer(pointer, name);
             if (value.isNull())
             {
                 object.remove(name);
-                replace_origin(here);
+                replace_origin(member_pointer);
             }
             else if (value.isObject())
             {
-                const bool extends = object.value(name).isObject();
-                if (!extends)
+                const bool is_extended = object.value(name).isObject();
+                if (!is_extended)
                 {
-                    replace_origin(here);
+                    replace_origin(member_pointer);
                 }
-                object[name] = patched(object.value(name).toObject(), value.toObject(), here);
+                object[name] =
+                    patched(object.value(name).toObject(), value.toObject(), member_pointer);
             }
             else
             {
                 object[name] = value;
-                replace_origin(here);
+                replace_origin(member_pointer);
             }
         }
         return object;
@@ -57,14 +58,15 @@
 
     void replace_origin(const std::string& pointer)
     {
-        // Members of a value that is gone begin with "<pointer>/"; '0' follows '/' in ASCII.
-        into_.origins.erase(into_.origins.lower_bound(pointer + '/'),
-                            into_.origins.lower_bound(pointer + '0'));
-        into_.origins[pointer] = file_;
+        // Pointers to members of the replaced value begin with "<pointer>/"; '0' follows '/' in
+        // ASCII, so the range covers exactly these pointers.
+        result_.origins.erase(result_.origins.lower_bound(pointer + '/'),
+                              result_.origins.lower_bound(pointer + '0'));
+        result_.origins[pointer] = current_file_;
     }
 
-    merged& into_;
-    std::string file_;
+    merged& result_;
+    std::string current_file_;
 };
 
 std::string bytes_text(std::size_t bytes)
@@ -72,8 +74,9 @@
     return std::to_string(bytes) + " bytes";
 }
 
-/// What is wrong with the files as a whole; their contents aren't looked at in that case.
-problems bounds_broken(const std::vector<source_file>& files, const merge_limits& limits)
+/// Violated limits on the number and total size of the files; with any of them the files are not
+/// parsed.
+problems exceeded_limits(const std::vector<source_file>& files, const merge_limits& limits)
 {
     problems found;
     std::size_t total = 0;
@@ -114,34 +117,34 @@
 
 merged merge_files(std::vector<source_file> files, const merge_limits& limits)
 {
-    merged whole;
-    whole.found = bounds_broken(files, limits);
-    if (!whole.found.empty())
+    merged result;
+    result.found = exceeded_limits(files, limits);
+    if (!result.found.empty())
     {
-        return whole;
+        return result;
     }
     std::stable_sort(files.begin(), files.end(),
                      [](const source_file& a, const source_file& b) { return a.name < b.name; });
-    merger into(whole);
+    merger file_merger(result);
     for (const source_file& file : files)
     {
         if (static_cast<std::size_t>(file.bytes.size()) > limits.file_bytes)
         {
-            whole.found.push_back(
+            result.found.push_back(
                 {file.name, "", "expected at most " + bytes_text(limits.file_bytes)});
             continue;
         }
         json_parse_result read = parse_strict_json(file.bytes, limits.depth);
-        for (json_error& fault : read.faults)
+        for (json_error& error : read.errors)
         {
-            whole.found.push_back({file.name, std::move(fault.pointer), std::move(fault.message)});
+            result.found.push_back({file.name, std::move(error.pointer), std::move(error.message)});
         }
         if (read.object)
         {
-            into.apply(*read.object, file.name);
+            file_merger.apply(*read.object, file.name);
         }
     }
-    return whole;
+    return result;
 }
 
 }  // namespace caraway::config
--- a/src/libcaraway/config/merge.hpp
+++ b/src/libcaraway/config/merge.hpp
@@ -13,14 +13,14 @@
 namespace caraway::config
 {
 
-/// One file of a configuration folder, as read; the name decides its place in the order.
+/// One file of a configuration folder, as read; files are merged in the order of their names.
 struct source_file
 {
     std::string name;
     QByteArray bytes;
 };
 
-/// Bounds on what is read; beyond them the files are refused unparsed.
+/// Limits on the input. Files beyond the limits on number or size are refused unparsed.
 struct merge_limits
 {
     std::size_t files = 2000;
@@ -30,21 +30,23 @@
     int depth = 16;
 };
 
-/// What the files say together, and which of them said what.
+/// The merged content, and the file from which each member came.
 struct merged
 {
     QJsonObject content;
-    /// Problems of single files: syntax, encoding, duplicate keys, size and depth.
+    /// Problems of the files: syntax, encoding, duplicate keys, number, size and depth.
     problems found;
-    /// JSON pointer of a member to the file that it came from.
+    /// Maps a member's JSON pointer to the name of the file that it came from.
     std::map<std::string, std::string> origins;
 
-    /// The file that a pointer's value came from; for a value that no file gave, its parent's.
+    /// The file that a pointer's value came from; for a value that is in no file, the file of its
+    /// nearest ancestor. Empty when there is none.
     std::string file_of(std::string pointer) const;
 };
 
-/// Merges files in the order of their names: objects member by member, null removes, anything else
-/// replaces what earlier files said. Files that can't be parsed are left out and reported.
+/// Merges files in the order of their names: objects are merged member by member, null removes a
+/// member, and any other value replaces that of earlier files. Files that can't be parsed are left
+/// out and reported.
 merged merge_files(std::vector<source_file> files, const merge_limits& limits = {});
 
 }  // namespace caraway::config
--- a/src/libcaraway/config/platform_action.hpp
+++ b/src/libcaraway/config/platform_action.hpp
@@ -19,7 +19,8 @@
     row_key key;
 };
 
-/// Conditional write of one row: at `expected_rev`, or only if it doesn't exist.
+/// Conditional write of one row: only at revision `expected_rev`, or, when that is empty, only if
+/// the row doesn't exist.
 struct put_row
 {
     row_key key;
@@ -40,11 +41,11 @@
     QByteArray bytes;
 };
 
-/// All writes or none.
+/// Atomic write of several rows: all of them or none.
 struct transact
 {
     std::vector<put_row> puts;
-    /// ClientRequestToken: the same for the same writes, 36 characters at most.
+    /// ClientRequestToken, for idempotency: equal for equal writes, at most 36 characters.
     std::string token;
 };
 
@@ -55,7 +56,7 @@
     ok,
     not_found,    ///< No such row or object.
     conflict,     ///< A condition failed; nothing was written.
-    unavailable,  ///< Provably had no effect.
+    unavailable,  ///< The action certainly had no effect.
     lost,         ///< No answer; a write may or may not have taken effect.
 };
 
@@ -69,9 +70,9 @@
 struct platform_reply
 {
     reply_status status = reply_status::ok;
-    /// Of a read_row that is ok.
+    /// The row; set for a read_row that is ok.
     std::optional<row> found;
-    /// Of a get_object that is ok.
+    /// The object's content; set for a get_object that is ok.
     QByteArray object;
 };
 
--- a/src/libcaraway/config/problem.hpp
+++ b/src/libcaraway/config/problem.hpp
@@ -6,12 +6,12 @@
 namespace caraway::config
 {
 
-/// One thing wrong with what an operator wrote: where it stands and what was expected there.
+/// A problem in a file written by an operator: its location and what was expected there.
 struct problem
 {
-    /// The file's name within the folder; empty when no single file is to blame.
+    /// The file's name within the folder; empty when the problem isn't in a single file.
     std::string file;
-    /// JSON pointer into the file, as in "/workspaces/rotas/share"; empty for the whole.
+    /// JSON pointer into the file, such as "/workspaces/rotas/share"; empty for the whole file.
     std::string pointer;
     std::string message;
 
@@ -20,7 +20,7 @@
 
 using problems = std::vector<problem>;
 
-/// One line a problem, "file: pointer: message", as shown to operators.
+/// One line per problem, "file: pointer: message", as shown to operators.
 std::string to_text(const problems& found);
 
 }  // namespace caraway::config
--- a/src/libcaraway/config/records.cpp
+++ b/src/libcaraway/config/records.cpp
@@ -34,7 +34,7 @@
     return QJsonDocument(object).toJson(QJsonDocument::Compact);
 }
 
-/// Reads members of one row and remembers whether any was missing or of the wrong type.
+/// Reads members of one row and records whether any of them was missing or invalid.
 class row_reader
 {
 public:
@@ -44,36 +44,36 @@
     std::string text(const char* member)
     {
         const QJsonValue value = object_.value(member);
-        is_whole_ = is_whole_ && value.isString();
+        is_valid_ = is_valid_ && value.isString();
         return value.toString().toStdString();
     }
 
-    /// Text that names something, hence isn't empty.
+    /// An identifier; must not be empty.
     std::string id(const char* member)
     {
         std::string read = text(member);
-        is_whole_ = is_whole_ && !read.empty();
+        is_valid_ = is_valid_ && !read.empty();
         return read;
     }
 
     sha256_hex hash(const char* member)
     {
         std::string read = text(member);
-        is_whole_ = is_whole_ && read.size() == hash_digits;
+        is_valid_ = is_valid_ && read.size() == hash_digits;
         return read;
     }
 
     base::config_version version(const char* member)
     {
         const qint64 read = object_.value(member).toInteger(-1);
-        is_whole_ = is_whole_ && read >= 0;
+        is_valid_ = is_valid_ && read >= 0;
         return base::config_version(std::max<qint64>(read, 0));
     }
 
     QJsonArray array(const char* member)
     {
         const QJsonValue value = object_.value(member);
-        is_whole_ = is_whole_ && value.isArray();
+        is_valid_ = is_valid_ && value.isArray();
         return value.toArray();
     }
 
@@ -82,27 +82,28 @@
         const std::string read = text(member);
         const auto known = std::find_if(states.begin(), states.end(),
                                         [&](change_state one) { return name(one) == read; });
-        is_whole_ = is_whole_ && known != states.end();
+        is_valid_ = is_valid_ && known != states.end();
         return known == states.end() ? change_state::open : *known;
     }
 
     void require(bool condition)
     {
-        is_whole_ = is_whole_ && condition;
+        is_valid_ = is_valid_ && condition;
     }
-    bool is_whole() const
+    bool is_valid() const
     {
-        return is_whole_;
+        return is_valid_;
     }
 
 private:
     QJsonObject object_;
-    bool is_whole_ = true;
+    bool is_valid_ = true;
 };
 
-base::error corrupt(const char* what)
+base::error corrupt_row(const char* row_name)
 {
-    return base::make_error(base::errc::corrupt, std::string("row of ") + what + " can't be read");
+    return base::make_error(base::errc::corrupt_row,
+                            std::string("row of ") + row_name + " can't be read");
 }
 
 QJsonObject approval_json(const approval& given)
@@ -206,11 +207,11 @@
                                     .hash = given.hash("hash"),
                                     .base_version = given.version("base"),
                                     .at = given.text("at")});
-        row.require(given.is_whole());
+        row.require(given.is_valid());
     }
-    if (!row.is_whole())
+    if (!row.is_valid())
     {
-        return corrupt("a change");
+        return corrupt_row("a change");
     }
     return record;
 }
@@ -222,9 +223,9 @@
                        .hash = row.hash("hash"),
                        .change = base::change_id(row.id("change"))};
     row.require(record.version > base::config_version{});
-    if (!row.is_whole())
+    if (!row.is_valid())
     {
-        return corrupt("the accepted version");
+        return corrupt_row("the accepted version");
     }
     return record;
 }
@@ -243,9 +244,9 @@
         row.require(approver.isString());
         record.approvers.emplace_back(approver.toString().toStdString());
     }
-    if (!row.is_whole())
+    if (!row.is_valid())
     {
-        return corrupt("the log");
+        return corrupt_row("the log");
     }
     return record;
 }
--- a/src/libcaraway/config/records.hpp
+++ b/src/libcaraway/config/records.hpp
@@ -23,18 +23,18 @@
 
 const char* name(change_state state);
 
-/// An operator's consent to exactly one document on exactly one base; void for any other.
+/// An operator's approval of exactly one document on exactly one base; void for any other.
 struct approval
 {
     base::operator_id approver;
     sha256_hex hash;
     base::config_version base_version{};
-    std::string at;  ///< RFC 3339, for people; no decision reads it.
+    std::string at;  ///< RFC 3339; informational, not used in any decision.
 
     friend bool operator==(const approval&, const approval&) = default;
 };
 
-/// A proposed change: row `change#<id>`. Id, base, hash and proposer never change once written.
+/// A proposed change: row `change#<id>`. Id, base, hash and proposer are immutable once written.
 struct change_record
 {
     base::change_id id;
@@ -58,7 +58,7 @@
     friend bool operator==(const head_record&, const head_record&) = default;
 };
 
-/// One acceptance, kept for good: row `config`/`log#<version>`.
+/// Record of one acceptance, never deleted: row `config`/`log#<version>`.
 struct log_record
 {
     base::config_version version{};
@@ -94,7 +94,7 @@
 QByteArray to_json(const head_record& record);
 QByteArray to_json(const log_record& record);
 
-/// Bodies of rows; `corrupt` when one is not what was written.
+/// Parse the bodies of rows. Error: `corrupt` when a body is malformed or a member is invalid.
 base::result<change_record> parse_change(const QByteArray& body);
 base::result<head_record> parse_head(const QByteArray& body);
 base::result<log_record> parse_log(const QByteArray& body);
--- a/src/libcaraway/config/redacted.cpp
+++ b/src/libcaraway/config/redacted.cpp
@@ -85,7 +85,7 @@
                           {"format", settings.log.format == log_format::json ? "json" : "text"}};
     const QJsonObject drain{{"address_lifetime_ms", milliseconds(settings.drain.address_lifetime)},
                             {"limit_ms", milliseconds(settings.drain.limit)}};
-    // Of the fleet key only where it comes from, of operators only their names.
+    // Omits the fleet key itself (only its file is shown) and the operators' key hashes (only ids).
     return {{"node", json(settings.node.str())},
             {"address", json(settings.address)},
             {"zone", json(settings.zone.str())},
--- a/src/libcaraway/config/review_policy.cpp
+++ b/src/libcaraway/config/review_policy.cpp
@@ -8,9 +8,9 @@
 namespace
 {
 
-const char* const every_part = "*";
-const char* const parts_of_a_configuration[] = {"workspaces", "services", "upstreams", "operators",
-                                                "review"};
+const char* const any_part = "*";
+const char* const configuration_parts[] = {"workspaces", "services", "upstreams", "operators",
+                                           "review"};
 
 const review_rule* rule_for(const configuration& accepted, const std::string& part)
 {
@@ -19,7 +19,8 @@
     return rule == accepted.review.end() ? nullptr : &*rule;
 }
 
-/// Looks at every character whatever the first ones are, so that the time it takes tells nothing.
+/// Compares every character even after a mismatch, so that the duration reveals nothing about the
+/// position of the first difference.
 bool equal_in_constant_time(const sha256_hex& a, const sha256_hex& b)
 {
     if (a.size() != b.size())
@@ -46,19 +47,19 @@
     const review_rule* rule = rule_for(accepted, part);
     if (rule == nullptr)
     {
-        rule = rule_for(accepted, every_part);
+        rule = rule_for(accepted, any_part);
     }
     return rule == nullptr ? default_approvals : rule->approvals;
 }
 
 std::uint32_t required_approvals(const configuration& accepted, const std::set<std::string>& parts)
 {
-    std::uint32_t most = 0;
+    std::uint32_t highest = 0;
     for (const std::string& part : parts)
     {
-        most = std::max(most, approvals_for(accepted, part));
+        highest = std::max(highest, approvals_for(accepted, part));
     }
-    return most;
+    return highest;
 }
 
 std::set<base::operator_id> counted_approvers(const configuration& accepted,
@@ -68,9 +69,9 @@
     for (const approval& given : change.approvals)
     {
         const auto account = accepted.operators.find(given.approver);
-        const bool is_for_this =
+        const bool matches_change =
             given.hash == change.hash && given.base_version == change.base_version;
-        if (is_for_this && given.approver != change.proposer &&
+        if (matches_change && given.approver != change.proposer &&
             account != accepted.operators.end() && account->second.may_approve)
         {
             counted.insert(given.approver);
@@ -97,10 +98,10 @@
 
 std::string lockout_reason(const configuration& proposed)
 {
-    std::uint32_t most = 0;
-    for (const char* part : parts_of_a_configuration)
+    std::uint32_t highest = 0;
+    for (const char* part : configuration_parts)
     {
-        most = std::max(most, approvals_for(proposed, part));
+        highest = std::max(highest, approvals_for(proposed, part));
     }
     std::uint32_t approvers = 0;
     bool has_proposer = false;
@@ -119,11 +120,11 @@
     }
     const std::uint32_t others =
         has_proposer_who_cannot_approve || approvers == 0 ? approvers : approvers - 1;
-    if (others < most)
+    if (others < highest)
     {
-        return "expected " + std::to_string(most) +
+        return "expected " + std::to_string(highest) +
                " operators with a key who may approve beside the proposer, as the review rules "
-               "ask; there are " +
+               "require; there are " +
                std::to_string(others);
     }
     return {};
--- a/src/libcaraway/config/review_policy.hpp
+++ b/src/libcaraway/config/review_policy.hpp
@@ -12,26 +12,28 @@
 namespace caraway::config
 {
 
-/// Approvals that a part needs when no rule names it and there is no rule for "*".
+/// Approvals required for a part when there is neither a rule for it nor one for "*".
 inline constexpr std::uint32_t default_approvals = 1;
 
-/// The rule that holds for one part: its own, else that of "*", else the default.
+/// Approvals required for one part: by its own rule, else by that of "*", else the default.
 std::uint32_t approvals_for(const configuration& accepted, const std::string& part);
 
-/// How many others must approve a change of these parts: the most that any of them asks for.
-/// `accepted` is the configuration in force at the change's base, never the proposed one.
+/// Number of operators other than the proposer who must approve a change of these parts: the
+/// highest number required for any of them. `accepted` is the configuration at the change's base,
+/// never the proposed one.
 std::uint32_t required_approvals(const configuration& accepted, const std::set<std::string>& parts);
 
-/// Approvers that count: known and allowed to approve in `accepted`, not the proposer, each once,
-/// and given for this very document and base.
+/// Operators whose approvals count: those who may approve according to `accepted`, except for the
+/// proposer, each counted once, and only for approvals of exactly this document and base.
 std::set<base::operator_id> counted_approvers(const configuration& accepted,
                                               const change_record& change);
 
-/// The operator whose key this is, or null. Takes the same time wherever the key stands.
+/// The operator who holds this key, or null. Compares with every key in constant time, so that the
+/// duration does not reveal which key matched.
 const operator_account* find_operator(const configuration& accepted, const sha256_hex& key_hash);
 
-/// Whether a configuration leaves somebody who can propose and enough others to approve any change.
-/// The text says what is missing; empty when all is well.
+/// Checks that a configuration has an operator who can propose and enough others to approve any
+/// change. The text says what is missing; empty when nothing is.
 std::string lockout_reason(const configuration& proposed);
 
 }  // namespace caraway::config
--- a/src/libcaraway/config/schema.cpp
+++ b/src/libcaraway/config/schema.cpp
@@ -24,12 +24,12 @@
 namespace
 {
 
-/// A schema, both as JSON, for messages, and as valijson compiled it.
+/// A schema in two forms: as JSON, for messages, and compiled by valijson.
 class compiled_schema
 {
 public:
-    explicit compiled_schema(schema_name which)
-        : json_(QJsonDocument::fromJson(schema_text(which)).object())
+    explicit compiled_schema(schema_name name)
+        : json_(QJsonDocument::fromJson(schema_text(name)).object())
     {
         const QJsonValue root(json_);
         valijson::SchemaParser parser;
@@ -50,14 +50,14 @@
     valijson::Schema compiled_;
 };
 
-const compiled_schema& schema_of(schema_name which)
+const compiled_schema& schema_of(schema_name name)
 {
     static const compiled_schema configuration(schema_name::configuration);
     static const compiled_schema settings(schema_name::settings);
-    return which == schema_name::configuration ? configuration : settings;
+    return name == schema_name::configuration ? configuration : settings;
 }
 
-/// valijson names a place as "<root>", "[member]", "[0]", ...
+/// Converts a location as valijson reports it ("<root>", "[member]", "[0]", ...) to a JSON pointer.
 std::string pointer_of(const std::vector<std::string>& context)
 {
     std::string pointer;
@@ -72,23 +72,24 @@
     return pointer;
 }
 
-/// valijson repeats each error once a level above it, in a sentence that begins like this.
-bool is_repetition(std::string_view text)
+/// valijson repeats each error once per enclosing level, in messages that begin with this text.
+bool is_nested_repetition(std::string_view text)
 {
     return text.starts_with("Failed to validate");
 }
 
-/// Gathers violations by their pointers, so that a value that breaks two rules counts once.
-class collector
+/// Collects violations by pointer, so that a value that violates two rules is reported once.
+class violation_collector
 {
 public:
-    collector(const QJsonObject& schema, const QJsonObject& value) : schema_(schema), value_(value)
+    violation_collector(const QJsonObject& schema, const QJsonObject& value)
+        : schema_(schema), value_(value)
     {
     }
 
     void add(const valijson::ValidationResults::Error& error)
     {
-        if (is_repetition(error.description))
+        if (is_nested_repetition(error.description))
         {
             return;
         }
@@ -115,7 +116,7 @@
     std::vector<violation> violations() const
     {
         std::vector<violation> all;
-        for (const auto& [pointer, one] : found_)
+        for (const auto& [pointer, one] : violations_)
         {
             all.push_back(one);
         }
@@ -126,7 +127,7 @@
     void add(violation one)
     {
         const std::string pointer = one.pointer;
-        found_.emplace(pointer, std::move(one));
+        violations_.emplace(pointer, std::move(one));
     }
 
     void add_missing(const std::string& pointer, const QJsonObject& object,
@@ -136,9 +137,10 @@
         {
             if (!object.contains(name.toString()))
             {
-                const std::string place = child_pointer(pointer, name.toString());
-                add({violation_kind::missing_member, place,
-                     "missing; expected " + expectation(schema_, subschema_at(schema_, place))});
+                const std::string member_pointer = child_pointer(pointer, name.toString());
+                add({violation_kind::missing_member, member_pointer,
+                     "missing; expected " +
+                         expectation(schema_, subschema_at(schema_, member_pointer))});
             }
         }
     }
@@ -158,18 +160,18 @@
 
     const QJsonObject& schema_;
     const QJsonObject& value_;
-    std::map<std::string, violation> found_;
+    std::map<std::string, violation> violations_;
 };
 
 }  // namespace
 
-std::vector<violation> check_schema(schema_name which, const QJsonObject& value)
+std::vector<violation> check_schema(schema_name name, const QJsonObject& value)
 {
-    const compiled_schema& schema = schema_of(which);
+    const compiled_schema& schema = schema_of(name);
     const QJsonValue root(value);
     valijson::Validator validator;
     valijson::ValidationResults results;
-    collector found(schema.json(), value);
+    violation_collector found(schema.json(), value);
     if (!validator.validate(schema.compiled(), valijson::adapters::QtJsonAdapter(root), &results))
     {
         std::for_each(results.begin(), results.end(),
--- a/src/libcaraway/config/schema.hpp
+++ b/src/libcaraway/config/schema.hpp
@@ -9,14 +9,14 @@
 namespace caraway::config
 {
 
-/// The schemas of the folder schemas/, compiled in.
+/// The JSON schemas of the folder schemas/, which are compiled into the program.
 enum class schema_name
 {
     configuration,
     settings,
 };
 
-const QByteArray& schema_text(schema_name which);
+const QByteArray& schema_text(schema_name name);
 
 enum class violation_kind
 {
@@ -25,17 +25,17 @@
     missing_member,
 };
 
-/// One place at which a value breaks a schema.
+/// A violation of a schema at one location of a value.
 struct violation
 {
     violation_kind kind = violation_kind::wrong_value;
-    /// Of the value; of the member itself when it is unknown or missing.
+    /// JSON pointer to the invalid value, or to the unknown or missing member.
     std::string pointer;
-    /// What was expected there, and what was found.
+    /// The expected value and the actual one.
     std::string message;
 };
 
-/// Every violation of a schema, in the order of their pointers.
-std::vector<violation> check_schema(schema_name which, const QJsonObject& value);
+/// All violations of a schema, in the order of their pointers.
+std::vector<violation> check_schema(schema_name name, const QJsonObject& value);
 
 }  // namespace caraway::config
--- a/src/libcaraway/config/strict_json.cpp
+++ b/src/libcaraway/config/strict_json.cpp
@@ -12,8 +12,8 @@
 namespace
 {
 
-/// More are of no help to anybody.
-constexpr std::size_t most_faults = 100;
+/// Limit on reported errors; longer lists don't help the reader.
+constexpr std::size_t max_errors = 100;
 
 QString unquoted(const QByteArray& quoted)
 {
@@ -24,35 +24,37 @@
     return QJsonDocument::fromJson('[' + quoted + ']').array().at(0).toString();
 }
 
-/// Walks over the bytes of a valid JSON text and looks at its structure only. A text is small
-/// enough for that (see merge_limits), and one pass suffices.
-class structure_scan
+/// Scans the bytes of a syntactically valid JSON text in one pass and checks its structure only:
+/// duplicate members and nesting depth. Texts are small enough for that (see merge_limits).
+class structure_scanner
 {
 public:
-    structure_scan(const QByteArray& bytes, int max_depth) : bytes_(bytes), max_depth_(max_depth) {}
+    structure_scanner(const QByteArray& bytes, int max_depth) : bytes_(bytes), max_depth_(max_depth)
+    {
+    }
 
     void run()
     {
-        while (at_ < bytes_.size() && faults_.size() < most_faults)
+        while (position_ < bytes_.size() && errors_.size() < max_errors)
         {
             step();
         }
     }
 
-    bool too_deep() const
+    bool is_too_deep() const
     {
-        return too_deep_;
+        return is_too_deep_;
     }
-    const std::vector<json_error>& faults() const
+    const std::vector<json_error>& errors() const
     {
-        return faults_;
+        return errors_;
     }
 
 private:
     struct frame
     {
         bool is_object = false;
-        bool awaits_name = false;
+        bool expects_name = false;
         std::size_t index = 0;
         QString name;
         QSet<QString> names;
@@ -60,18 +62,18 @@
 
     void step()
     {
-        switch (bytes_[at_])
+        switch (bytes_[position_])
         {
         case '{':
         case '[':
-            open(bytes_[at_] == '{');
+            open(bytes_[position_] == '{');
             break;
         case '}':
         case ']':
             frames_.pop_back();
             break;
         case ',':
-            frames_.back().awaits_name = frames_.back().is_object;
+            frames_.back().expects_name = frames_.back().is_object;
             ++frames_.back().index;
             break;
         case '"':
@@ -80,44 +82,44 @@
         default:
             break;
         }
-        ++at_;
+        ++position_;
     }
 
     void open(bool is_object)
     {
         if (static_cast<int>(frames_.size()) == max_depth_)
         {
-            too_deep_ = true;
-            faults_.push_back(
+            is_too_deep_ = true;
+            errors_.push_back(
                 {pointer(), "nested deeper than " + std::to_string(max_depth_) + " levels"});
         }
         frames_.emplace_back();
         frames_.back().is_object = is_object;
-        frames_.back().awaits_name = is_object;
+        frames_.back().expects_name = is_object;
     }
 
     void text()
     {
-        const qsizetype begin = at_++;
-        while (bytes_[at_] != '"')
+        const qsizetype begin = position_++;
+        while (bytes_[position_] != '"')
         {
-            at_ += bytes_[at_] == '\\' ? 2 : 1;
+            position_ += bytes_[position_] == '\\' ? 2 : 1;
         }
-        ++at_;
-        if (frames_.back().awaits_name)
+        ++position_;
+        if (frames_.back().expects_name)
         {
-            member(bytes_.mid(begin, at_ - begin));
+            member(bytes_.mid(begin, position_ - begin));
         }
     }
 
     void member(const QByteArray& quoted)
     {
         frame& object = frames_.back();
-        object.awaits_name = false;
+        object.expects_name = false;
         object.name = unquoted(quoted);
         if (object.names.contains(object.name))
         {
-            faults_.push_back({pointer(), "member stands twice in this object"});
+            errors_.push_back({pointer(), "member stands twice in this object"});
         }
         object.names.insert(object.name);
     }
@@ -135,13 +137,13 @@
 
     const QByteArray& bytes_;
     int max_depth_;
-    qsizetype at_ = 0;
-    bool too_deep_ = false;
+    qsizetype position_ = 0;
+    bool is_too_deep_ = false;
     std::vector<frame> frames_;
-    std::vector<json_error> faults_;
+    std::vector<json_error> errors_;
 };
 
-std::string place(const QByteArray& bytes, qsizetype offset)
+std::string line_and_column(const QByteArray& bytes, qsizetype offset)
 {
     const QByteArray before = bytes.left(offset);
     const qsizetype line = before.count('\n') + 1;
@@ -157,20 +159,20 @@
     const QJsonDocument parsed = QJsonDocument::fromJson(bytes, &failure);
     if (failure.error != QJsonParseError::NoError)
     {
-        const std::string what = failure.error == QJsonParseError::IllegalUTF8String
-                                     ? "invalid UTF-8"
-                                     : "invalid JSON: " + failure.errorString().toStdString();
+        const std::string message = failure.error == QJsonParseError::IllegalUTF8String
+                                        ? "invalid UTF-8"
+                                        : "invalid JSON: " + failure.errorString().toStdString();
         return {.object = std::nullopt,
-                .faults = {{"", what + " at " + place(bytes, failure.offset)}}};
+                .errors = {{"", message + " at " + line_and_column(bytes, failure.offset)}}};
     }
     if (!parsed.isObject())
     {
-        return {.object = std::nullopt, .faults = {{"", "expected an object"}}};
+        return {.object = std::nullopt, .errors = {{"", "expected an object"}}};
     }
-    structure_scan scan(bytes, max_depth);
-    scan.run();
-    json_parse_result read{.object = std::nullopt, .faults = scan.faults()};
-    if (!scan.too_deep())
+    structure_scanner scanner(bytes, max_depth);
+    scanner.run();
+    json_parse_result read{.object = std::nullopt, .errors = scanner.errors()};
+    if (!scanner.is_too_deep())
     {
         read.object = parsed.object();
     }
--- a/src/libcaraway/config/version_tracker.hpp
+++ b/src/libcaraway/config/version_tracker.hpp
@@ -12,14 +12,14 @@
 namespace caraway::config
 {
 
-/// Who says that a version is the accepted one.
+/// The source of the information that a version is accepted.
 enum class version_source
 {
     peer,
-    platform,  ///< The head row itself; outranks a peer.
+    platform,  ///< The head row itself; takes precedence over a peer.
 };
 
-/// A version and the document that it stands for.
+/// A version and the hash of its document.
 struct version_ref
 {
     base::config_version version{};
@@ -28,60 +28,64 @@
     friend bool operator==(const version_ref&, const version_ref&) = default;
 };
 
-/// Which configuration one router has in force. Versions only go up: an older offer changes
-/// nothing, and another document under a known version is refused as `corrupt`.
+/// Tracks the configuration that one router has in force. Versions are monotonic: an older version
+/// is ignored, and a different document under a known version is refused as `corrupt`.
 class version_tracker
 {
 public:
-    /// Hears of an accepted version. Gives back what to fetch, from the object store or from a
-    /// peer; nothing when that is in force, older, or on its way already.
-    base::result<std::optional<version_ref>> offer(const version_ref& heard, version_source by);
-
-    /// The bytes of a document have arrived, from wherever. In force if they match the hash that
-    /// was vouched for and the version is newer than what is; else nothing changes and the error
-    /// says why. After an error that version counts as not fetched (see fetch_failed).
+    /// Records an accepted version. Returns the version to fetch, from the object store or from a
+    /// peer; empty when the version is in force, older, or when it or a newer one is being fetched.
+    /// Error: `corrupt` when another document is known under this version.
+    base::result<std::optional<version_ref>> offer(const version_ref& announced,
+                                                   version_source source);
+
+    /// Processes the fetched bytes of a document, from any source. The version comes into force if
+    /// the bytes match the announced hash and the version is newer than the one in force; else
+    /// nothing changes and an error is returned. After an error the version counts as not fetched
+    /// (see fetch_failed). Errors: `conflict` when the version isn't pending, else those of
+    /// document::from_bytes.
     base::result<void> fetched(base::config_version version, const QByteArray& bytes);
 
-    /// A fetch has failed; the next offer or retry() asks for it again.
+    /// Records that a fetch has failed; the next offer() or retry() returns the version again.
     void fetch_failed(const version_ref& wanted);
 
-    /// The newest version that was heard of, isn't in force and isn't being fetched: what a timer
-    /// fetches when no offer comes.
+    /// The newest pending version, unless it is being fetched: for a timer that repeats failed
+    /// fetches when no further offer arrives. Marks the version as being fetched.
     std::optional<version_ref> retry();
 
-    /// False on a cold start, until a version that the platform or a peer vouches for is in force.
+    /// False after a cold start, until a version announced by the platform or a peer is in force.
     bool ready() const
     {
         return in_force_ != nullptr;
     }
-    /// Null until ready. Shared with the traffic threads; never modified.
+    /// Null until ready. Shared with the traffic threads; immutable.
     const std::shared_ptr<const accepted_configuration>& in_force() const
     {
         return in_force_;
     }
-    /// The document in force, for peers that ask for it.
+    /// The document in force, for peers that request it; null until ready.
     const std::shared_ptr<const document>& document_in_force() const
     {
         return document_;
     }
-    /// The newest version heard of, in force or not; 0 when none.
+    /// The newest known version, in force or pending; 0 when there is none.
     base::config_version newest_known() const;
 
 private:
-    struct heard_version
+    struct pending_version
     {
         sha256_hex hash;
-        version_source by = version_source::peer;
+        version_source source = version_source::peer;
         bool fetching = false;
     };
 
-    /// Versions above the one in force that were heard of and not yet put in force.
-    static constexpr std::size_t most_heard = 8;
+    /// Limit on pending versions: announced, newer than the one in force, and not yet in force.
+    static constexpr std::size_t max_pending = 8;
 
-    base::result<void> remember(const version_ref& heard, version_source by);
-    bool newer_is_on_its_way(base::config_version than) const;
+    base::result<void> record_announcement(const version_ref& announced, version_source source);
+    bool is_newer_being_fetched(base::config_version version) const;
 
-    std::map<base::config_version, heard_version> heard_;
+    std::map<base::config_version, pending_version> pending_;
     std::shared_ptr<const accepted_configuration> in_force_;
     std::shared_ptr<const document> document_;
 };
--- a/tests/config/settings_test.cpp
+++ b/tests/config/settings_test.cpp
@@ -53,7 +53,7 @@
         {"/seeds=[\"::1:80\"]", "/seeds/0: expected address:port"},
         {"/log/level=loud", "/log/level: expected one of \"debug\""},
         {"/http={", "/http: expected a JSON value"},
-        {"/node/name=x", "/node/name: expected a way through objects"},
+        {"/node/name=x", "/node/name: expected a path through objects"},
         {"/fleet_key_file=/etc/key", "expected either fleet_key or fleet_key_file"},
         {"/bootstrap_operators={\"a\":{}}", "/bootstrap_operators/a/key_hashes: missing"},
     };
