--- a/src/libcaraway/config/acceptance.cpp
+++ b/src/libcaraway/config/acceptance.cpp
@@ -16,7 +16,7 @@
     return std::to_string(static_cast<std::uint64_t>(version));
 }
 
-const base::change_id& change_id_of(const command& request)
+const base::change_id& change_of(const command& request)
 {
     return std::visit([](const auto& one) -> const base::change_id& { return one.change; },
                       request.operation);
@@ -31,7 +31,7 @@
 
 acceptance_step acceptance::begin()
 {
-    return request_action(stage::head, read_row{head_key()});
+    return issue(stage::head, read_row{head_key()});
 }
 
 acceptance_step acceptance::handle(const platform_reply& reply)
@@ -84,7 +84,7 @@
                                              ", but version " + text(options_.newest_known) +
                                              " is in force here; it has lost accepted versions");
     }
-    return request_action(stage::change, read_row{change_key(change_id_of(command_))});
+    return issue(stage::change, read_row{change_key(change_of(command_))});
 }
 
 acceptance_step acceptance::on_change(const platform_reply& reply)
@@ -109,14 +109,14 @@
     {
         // This command's write took effect although its reply was lost. The operator isn't looked
         // up again, because the change may have removed that operator's account.
-        return make_result();
+        return finish();
     }
     if (head_.version == base::config_version{})
     {
         accepted_ = bootstrap_state(options_.bootstrap);
         return authorise();
     }
-    return request_action(stage::accepted, get_object{object_name(head_.hash)});
+    return issue(stage::accepted, get_object{object_name(head_.hash)});
 }
 
 acceptance_step acceptance::on_accepted(const platform_reply& reply)
@@ -153,7 +153,7 @@
     if (!change_rev_ && !std::holds_alternative<propose_command>(command_.operation))
     {
         return fail(base::errc::not_found,
-                    "there is no change \"" + change_id_of(command_).str() + '"');
+                    "there is no change \"" + change_of(command_).str() + '"');
     }
     return std::visit([this](const auto& request) { return execute(request); }, command_.operation);
 }
@@ -187,8 +187,8 @@
     {
         return *std::move(refused);
     }
-    return request_action(stage::store_proposed, put_object{object_name(request.proposed.hash()),
-                                                            request.proposed.bytes()});
+    return issue(stage::store_proposed,
+                 put_object{object_name(request.proposed.hash()), request.proposed.bytes()});
 }
 
 acceptance_step acceptance::execute(const approve_command& request)
@@ -216,7 +216,7 @@
 {
     if (change_.state == change_state::rejected)
     {
-        return make_result();
+        return finish();
     }
     if (refusal refused = check_rejection(*actor_, change_))
     {
@@ -247,8 +247,7 @@
         return change_rev_ ? read_proposed() : write_change();
     case reply_status::lost:
     case reply_status::conflict:
-        return restart(
-            base::errc::unavailable);  // Named by its hash, so storing the document is idempotent.
+        return restart(base::errc::unavailable);  // Named by its hash, so idempotent.
     case reply_status::not_found:
     case reply_status::unavailable:
         break;
@@ -258,8 +257,8 @@
 
 acceptance_step acceptance::write_change()
 {
-    return request_action(stage::write_change,
-                          put_row{change_key(change_.id), change_rev_, to_json(change_)});
+    return issue(stage::write_change,
+                 put_row{change_key(change_.id), change_rev_, to_json(change_)});
 }
 
 acceptance_step acceptance::on_written(const platform_reply& reply)
@@ -270,12 +269,12 @@
     }
     may_have_written_ = true;
     change_rev_ = change_rev_.value_or(0) + 1;
-    return change_.state == change_state::rejected ? make_result() : read_proposed();
+    return change_.state == change_state::rejected ? finish() : read_proposed();
 }
 
 acceptance_step acceptance::read_proposed()
 {
-    return request_action(stage::read_proposed, get_object{object_name(change_.hash)});
+    return issue(stage::read_proposed, get_object{object_name(change_.hash)});
 }
 
 // The document is accepted as read back from the store, not as sent: a truncated document must
@@ -303,8 +302,7 @@
     }
     required_ = verdict.value().required;
     approvals_ = static_cast<std::uint32_t>(verdict.value().approvers.size());
-    return verdict.value().is_approved() ? accept(std::move(verdict.value().approvers))
-                                         : make_result();
+    return verdict.value().is_approved() ? accept(std::move(verdict.value().approvers)) : finish();
 }
 
 acceptance_step acceptance::accept(std::vector<base::operator_id> approvers)
@@ -315,7 +313,7 @@
                                          .head_rev = head_rev_,
                                          .approvers = std::move(approvers),
                                          .at = command_.at});
-    return request_action(stage::accept, std::move(writes));
+    return issue(stage::accept, std::move(writes));
 }
 
 acceptance_step acceptance::on_transacted(const platform_reply& reply)
@@ -324,7 +322,7 @@
     {
         return *std::move(failure);
     }
-    return make_result();
+    return finish();
 }
 
 std::optional<acceptance_step> acceptance::write_failure(const platform_reply& reply)
@@ -349,12 +347,12 @@
 {
     if (change_.state == change_state::accepted)
     {
-        return make_result();
+        return finish();
     }
     return fail(base::errc::conflict, "the change has been rejected");
 }
 
-acceptance_step acceptance::request_action(stage next_stage, platform_action action)
+acceptance_step acceptance::issue(stage next_stage, platform_action action)
 {
     stage_ = next_stage;
     return action;
@@ -388,7 +386,7 @@
     return fail(base::errc::unavailable, "the platform doesn't answer; nothing was written");
 }
 
-acceptance_step acceptance::make_result() const
+acceptance_step acceptance::finish() const
 {
     acceptance_result result{
         .change = change_, .approvals = approvals_, .required = required_, .accepted_version = {}};
--- a/src/libcaraway/config/acceptance.hpp
+++ b/src/libcaraway/config/acceptance.hpp
@@ -94,12 +94,12 @@
     /// Empty when the write took effect, else the next step.
     std::optional<acceptance_step> write_failure(const platform_reply& reply);
     acceptance_step ended_result() const;
-    acceptance_step request_action(stage next_stage, platform_action action);
+    acceptance_step issue(stage next_stage, platform_action action);
     /// Reads everything again after a conflict or a lost reply.
     acceptance_step restart(base::errc reason);
     acceptance_step fail(base::errc code, std::string message) const;
     acceptance_step platform_failure() const;
-    acceptance_step make_result() const;
+    acceptance_step finish() const;
 
     command command_;
     acceptance_options options_;
--- a/src/libcaraway/config/change_rules.cpp
+++ b/src/libcaraway/config/change_rules.cpp
@@ -87,8 +87,7 @@
     if (touched_parts(accepted.json, request.proposed.json()).empty())
     {
         return base::make_error(base::errc::invalid_argument,
-                                "the proposed configuration doesn't differ from version " +
-                                    text(accepted.version));
+                                "nothing differs from version " + text(accepted.version));
     }
     return first_error(request.proposed);
 }
--- a/tests/config/acceptance_property_test.cpp
+++ b/tests/config/acceptance_property_test.cpp
@@ -17,9 +17,9 @@
 namespace
 {
 
-/// Several routers carry out commands on one platform. Every step is chosen by a random number: who
-/// moves, and whether the reply is lost, the write takes effect only later, the platform is out, or
-/// the router crashes and its operator repeats the command elsewhere.
+/// Several routers execute commands on one platform. A random number chooses every step: which
+/// router advances, and whether its reply is lost, its write takes effect later, the platform is
+/// unavailable, or the router crashes and its operator repeats the command.
 class random_fleet
 {
 public:
@@ -37,20 +37,20 @@
 
     void move(std::uint32_t choice)
     {
-        router& mover = routers_[choice % routers_.size()];
+        router& actor = routers_[choice % routers_.size()];
         choice /= static_cast<std::uint32_t>(routers_.size());
-        if (!mover.machine)
+        if (!actor.machine)
         {
-            start(mover, choice);
+            start(actor, choice);
             return;
         }
-        step(mover, choice % 16);
+        step(actor, choice % 16);
         check();
     }
 
     std::size_t version() const
     {
-        return seen_.size();
+        return checked_log_.size();
     }
 
 private:
@@ -69,42 +69,42 @@
         const std::array operators{"ana", "bela", "chitra", "dipu"};
         const document& proposed = documents_[choice % document_count];
         const base::change_id id("c" + std::to_string(choice / 7 % 8));
-        const base::config_version on = platform_.head().version;
-        const sha256_hex who = key(operators[choice / 31 % operators.size()]);
+        const base::config_version base_version = platform_.head().version;
+        const sha256_hex key_hash = key(operators[choice / 31 % operators.size()]);
         switch (choice / 127 % 5)
         {
         case 0:
         case 1:
-            return {key("ana"), "t", propose_command{id, on, proposed, ""}};
+            return {key("ana"), "t", propose_command{id, base_version, proposed, ""}};
         case 2:
-            return {who, "t", reject_command{id}};
+            return {key_hash, "t", reject_command{id}};
         case 3:
-            return {who, "t", settle_command{id}};
+            return {key_hash, "t", settle_command{id}};
         default:
             break;
         }
         const auto row = platform_.rows.find(change_key(id));
         const sha256_hex hash =
             row == platform_.rows.end() ? "" : parse_change(row->second.body).value().hash;
-        return {who, "t", approve_command{id, on, hash}};
+        return {key_hash, "t", approve_command{id, base_version, hash}};
     }
 
-    void start(router& mover, std::uint32_t choice)
+    void start(router& actor, std::uint32_t choice)
     {
-        const bool repeats = mover.interrupted && choice % 2 == 0;
-        mover.running = repeats ? mover.interrupted : random_command(choice);
-        mover.interrupted.reset();
-        mover.machine.emplace(*mover.running, options_);
-        mover.next = mover.machine->begin();
+        const bool is_repeat = actor.interrupted && choice % 2 == 0;
+        actor.running = is_repeat ? actor.interrupted : random_command(choice);
+        actor.interrupted.reset();
+        actor.machine.emplace(*actor.running, options_);
+        actor.next = actor.machine->begin();
     }
 
-    void step(router& mover, std::uint32_t fault)
+    void step(router& actor, std::uint32_t fault)
     {
-        const platform_action action = *action_of(*mover.next);
+        const platform_action action = *action_of(*actor.next);
         platform_reply reply{reply_status::lost, {}, {}};
         if (fault == 0 && is_write(action))
         {
-            late_.push_back(action);
+            delayed_writes_.push_back(action);
         }
         else if (fault == 1)
         {
@@ -116,58 +116,58 @@
         }
         else if (fault == 3)
         {
-            crash(mover);
+            crash(actor);
             return;
         }
-        else if (fault == 4 && !late_.empty())
+        else if (fault == 4 && !delayed_writes_.empty())
         {
-            platform_.apply(late_.back());
-            late_.pop_back();
+            platform_.apply(delayed_writes_.back());
+            delayed_writes_.pop_back();
             return;
         }
         else
         {
             reply = platform_.apply(action);
         }
-        mover.next = mover.machine->handle(reply);
-        finish(mover);
+        actor.next = actor.machine->handle(reply);
+        finish(actor);
     }
 
-    void crash(router& mover)
+    void crash(router& actor)
     {
-        mover.interrupted = mover.running;
-        mover.machine.reset();
+        actor.interrupted = actor.running;
+        actor.machine.reset();
     }
 
-    void finish(router& mover)
+    void finish(router& actor)
     {
-        if (const auto* result = std::get_if<acceptance_result>(&*mover.next))
+        if (const auto* result = std::get_if<acceptance_result>(&*actor.next))
         {
             if (result->accepted_version)
             {
-                told_accepted_.emplace(result->change.id, *result->accepted_version);
+                reported_accepted_.emplace(result->change.id, *result->accepted_version);
             }
-            mover.machine.reset();
+            actor.machine.reset();
         }
-        else if (std::holds_alternative<base::error>(*mover.next))
+        else if (std::holds_alternative<base::error>(*actor.next))
         {
-            crash(mover);
+            crash(actor);
         }
     }
 
-    /// What must hold after every step, looked at from outside.
+    /// Checks the invariants on the stored rows; called after every step.
     void check()
     {
         const auto log = platform_.log();
-        RC_ASSERT(log.size() >= seen_.size());
+        RC_ASSERT(log.size() >= checked_log_.size());
         std::set<base::change_id> accepted;
         for (std::size_t i = 0; i < log.size(); ++i)
         {
             RC_ASSERT(static_cast<std::uint64_t>(log[i].version) == i + 1);
             RC_ASSERT(accepted.insert(log[i].change).second);
-            const bool is_unchanged = i >= seen_.size() || seen_[i] == log[i];
+            const bool is_unchanged = i >= checked_log_.size() || checked_log_[i] == log[i];
             RC_ASSERT(is_unchanged);
-            if (i >= seen_.size())
+            if (i >= checked_log_.size())
             {
                 check_rules(log, i);
             }
@@ -175,24 +175,25 @@
         const bool is_last = log.empty() || platform_.head().hash == log.back().hash;
         RC_ASSERT(is_last);
         RC_ASSERT(static_cast<std::uint64_t>(platform_.head().version) == log.size());
-        for (const auto& [id, version] : told_accepted_)
+        for (const auto& [id, version] : reported_accepted_)
         {
             RC_ASSERT(log.at(static_cast<std::size_t>(version) - 1).change == id);
         }
-        seen_ = log;
+        checked_log_ = log;
     }
 
-    /// Recomputes from the stored rows whether enough others had approved.
-    void check_rules(const std::vector<log_record>& log, std::size_t at)
+    /// Recomputes from the stored rows whether enough other operators had approved the log entry.
+    void check_rules(const std::vector<log_record>& log, std::size_t index)
     {
-        const auto row = parse_change(platform_.rows.at(change_key(log[at].change)).body).value();
+        const auto row =
+            parse_change(platform_.rows.at(change_key(log[index].change)).body).value();
         RC_ASSERT((row.state == change_state::accepted));
-        RC_ASSERT(static_cast<std::uint64_t>(row.base_version) == at);
-        if (at == 0)
+        RC_ASSERT(static_cast<std::uint64_t>(row.base_version) == index);
+        if (index == 0)
         {
             return;
         }
-        const auto before = stored(log[at - 1].hash);
+        const auto before = stored(log[index - 1].hash);
         const bool only_shares = before.json()["upstreams"] == stored(row.hash).json()["upstreams"];
         std::set<std::string> others;
         for (const approval& given : row.approvals)
@@ -214,10 +215,10 @@
     acceptance_options options_;
     std::vector<document> documents_;
     std::array<router, 3> routers_;
-    /// Writes whose reply was lost and that take effect later, if ever.
-    std::vector<platform_action> late_;
-    std::vector<log_record> seen_;
-    std::map<base::change_id, base::config_version> told_accepted_;
+    /// Writes whose reply was lost and that take effect later or never.
+    std::vector<platform_action> delayed_writes_;
+    std::vector<log_record> checked_log_;
+    std::map<base::change_id, base::config_version> reported_accepted_;
 };
 
 constexpr std::size_t schedule_length = 300;
@@ -226,8 +227,9 @@
 
 BOOST_AUTO_TEST_SUITE(acceptance_properties)
 
-// Symptom: versions fork, go back or are accepted unapproved, or what an operator was told isn't
-// so. Sequence: any commands at three routers, any steps, any crash, lost, late or refused write.
+// Guards against versions that fork, revert or are accepted without approval, and against wrong
+// results reported to operators. Sequence: random commands at three routers, interleaved at random,
+// with crashes and lost, delayed and refused writes.
 BOOST_AUTO_TEST_CASE(any_interleaving_with_any_faults_keeps_the_rules)
 {
     std::size_t versions = 0;
--- a/tests/config/acceptance_test.cpp
+++ b/tests/config/acceptance_test.cpp
@@ -19,30 +19,32 @@
 constexpr base::config_version v1{1};
 constexpr base::config_version v2{2};
 
-command propose(const std::string& who, const std::string& id, base::config_version on,
-                const QJsonObject& json)
+command propose(const std::string& operator_name, const std::string& id,
+                base::config_version base_version, const QJsonObject& json)
 {
-    return {key(who), "t", propose_command{base::change_id(id), on, made(json), ""}};
+    return {key(operator_name), "t",
+            propose_command{base::change_id(id), base_version, made(json), ""}};
 }
 
-command approve(const std::string& who, const std::string& id, base::config_version on,
-                const QJsonObject& json)
+command approve(const std::string& operator_name, const std::string& id,
+                base::config_version base_version, const QJsonObject& json)
 {
-    return {key(who), "t", approve_command{base::change_id(id), on, made(json).hash()}};
+    return {key(operator_name), "t",
+            approve_command{base::change_id(id), base_version, made(json).hash()}};
 }
 
-command reject(const std::string& who, const std::string& id)
+command reject(const std::string& operator_name, const std::string& id)
 {
-    return {key(who), "t", reject_command{base::change_id(id)}};
+    return {key(operator_name), "t", reject_command{base::change_id(id)}};
 }
 
-/// Changes that need none, one and two approvals.
+/// Changes that require none, one and two approvals.
 const QJsonObject share_2 = sample_json(2);
 const QJsonObject with_slots = with(sample_json(), {"upstreams", "runner-1", "slots"}, 4);
 const QJsonObject without_dipu =
     with(sample_json(), {"operators", "dipu"}, account("dipu", true, true));
 
-/// The first operators come from the settings.
+/// Bootstrap operators, as from the settings.
 acceptance_options options()
 {
     acceptance_options made;
@@ -69,16 +71,18 @@
     return platform_reply{reply_status::unavailable, {}, {}};
 };
 
-/// Runs a command to its end; at step `at` (from 0) the fault takes the place of the platform.
-acceptance_step run(fake_platform& platform, const command& asked, int at = -1,
-                    const fault& broken = lost)
+/// Runs a command to its end; at step `fault_step` (from 0, -1 for none) the fault replaces the
+/// platform's reply.
+acceptance_step run(fake_platform& platform, const command& request, int fault_step = -1,
+                    const fault& injected_fault = lost)
 {
-    acceptance machine(asked, options());
+    acceptance machine(request, options());
     acceptance_step step = machine.begin();
     for (int i = 0; action_of(step) != nullptr; ++i)
     {
         const platform_action action = *action_of(step);
-        step = machine.handle(i == at ? broken(platform, action) : platform.apply(action));
+        step = machine.handle(i == fault_step ? injected_fault(platform, action)
+                                              : platform.apply(action));
     }
     return step;
 }
@@ -98,8 +102,8 @@
     return std::get<acceptance_result>(step);
 }
 
-/// Version 1 is the sample.
-fake_platform started()
+/// A platform on which the sample is accepted as version 1.
+fake_platform platform_with_sample()
 {
     fake_platform platform;
     const auto first = result_of(run(platform, propose("root", "first", v0, sample_json())));
@@ -107,7 +111,7 @@
     return platform;
 }
 
-/// Tries every interleaving of the steps of two commands.
+/// Explores every interleaving of the steps of two commands.
 class race
 {
 public:
@@ -127,37 +131,37 @@
     }
 
 private:
-    struct contestant
+    struct participant
     {
         acceptance machine;
         acceptance_step next;
     };
 
-    static contestant start(const command& asked)
+    static participant start(const command& request)
     {
-        acceptance machine(asked, options());
+        acceptance machine(request, options());
         acceptance_step next = machine.begin();
         return {std::move(machine), std::move(next)};
     }
 
-    void explore(const fake_platform& platform, const std::vector<contestant>& both)
+    void explore(const fake_platform& platform, const std::vector<participant>& participants)
     {
-        bool has_moved = false;
-        for (std::size_t i = 0; i < both.size(); ++i)
+        bool has_advanced = false;
+        for (std::size_t i = 0; i < participants.size(); ++i)
         {
-            if (const platform_action* action = action_of(both[i].next))
+            if (const platform_action* action = action_of(participants[i].next))
             {
                 fake_platform changed = platform;
-                std::vector<contestant> moved = both;
-                moved[i].next = moved[i].machine.handle(changed.apply(*action));
-                explore(changed, moved);
-                has_moved = true;
+                std::vector<participant> advanced = participants;
+                advanced[i].next = advanced[i].machine.handle(changed.apply(*action));
+                explore(changed, advanced);
+                has_advanced = true;
             }
         }
-        if (!has_moved)
+        if (!has_advanced)
         {
             ++interleavings_;
-            check_(platform, both[0].next, both[1].next);
+            check_(platform, participants[0].next, participants[1].next);
         }
     }
 
@@ -171,10 +175,10 @@
 
 BOOST_AUTO_TEST_SUITE(acceptance_of_changes)
 
-// Symptom: a change is in force that too few others have looked at.
+// Guards against a change in force without the required approvals by other operators.
 BOOST_AUTO_TEST_CASE(the_rules_hold_against_who_skips_repeats_or_approves_their_own)
 {
-    fake_platform platform = started();
+    fake_platform platform = platform_with_sample();
     const auto proposed = result_of(run(platform, propose("ana", "c", v1, without_dipu)));
     BOOST_TEST(proposed.required == 2U);
     BOOST_TEST(!proposed.accepted_version);
@@ -194,32 +198,35 @@
     BOOST_TEST(platform.log().back().approvers.size() == 2U);
 }
 
-// Symptom: an operator lowers the rules in the very change that they are to be applied to.
+// Guards against a change that relaxes the review rules and is then judged by the relaxed rules.
 BOOST_AUTO_TEST_CASE(rules_and_operators_are_those_of_the_accepted_configuration)
 {
-    fake_platform platform = started();
-    QJsonObject lax = sample_json();
-    lax["review"] = QJsonArray{QJsonObject{{"part", "*"}, {"approvals", 0}}};
-    lax = with(lax, {"operators", "dipu"}, account("dipu", true, true));
-    BOOST_TEST(result_of(run(platform, propose("ana", "lax", v1, lax))).required == 2U);
-    BOOST_TEST(error_of(run(platform, approve("dipu", "lax", v1, lax))) == errc::permission_denied);
-    BOOST_TEST(error_of(run(platform, propose("bela", "mine", v1, lax))) ==
+    fake_platform platform = platform_with_sample();
+    QJsonObject relaxed = sample_json();
+    relaxed["review"] = QJsonArray{QJsonObject{{"part", "*"}, {"approvals", 0}}};
+    relaxed = with(relaxed, {"operators", "dipu"}, account("dipu", true, true));
+    BOOST_TEST(result_of(run(platform, propose("ana", "lax", v1, relaxed))).required == 2U);
+    BOOST_TEST(error_of(run(platform, approve("dipu", "lax", v1, relaxed))) ==
                errc::permission_denied);
-    BOOST_TEST(error_of(run(platform, propose("root", "late", v1, lax))) == errc::unauthenticated);
+    BOOST_TEST(error_of(run(platform, propose("bela", "mine", v1, relaxed))) ==
+               errc::permission_denied);
+    BOOST_TEST(error_of(run(platform, propose("root", "late", v1, relaxed))) ==
+               errc::unauthenticated);
 }
 
-// Symptom: an approval of one document on one base lets in another. Sequence: Bela looks at a
-// change, another one is accepted, or she has looked at an older text.
+// Guards against an approval that counts for another document or base. Sequence: Bela reviews a
+// change, then another change is accepted; or she has reviewed an older document.
 BOOST_AUTO_TEST_CASE(an_approval_is_for_one_document_on_one_base)
 {
-    fake_platform platform = started();
+    fake_platform platform = platform_with_sample();
     result_of(run(platform, propose("ana", "c", v1, with_slots)));
     BOOST_TEST(error_of(run(platform, approve("bela", "c", v1, share_2))) == errc::conflict);
     BOOST_TEST(error_of(run(platform, approve("bela", "c", v2, with_slots))) == errc::conflict);
     BOOST_TEST((result_of(run(platform, propose("ana", "d", v1, share_2))).accepted_version == v2));
     BOOST_TEST(error_of(run(platform, approve("bela", "c", v1, with_slots))) == errc::conflict);
     BOOST_TEST(error_of(run(platform, propose("ana", "e", v1, with_slots))) == errc::conflict);
-    // A forged row: approvals for something else, by the proposer, or by who may not, don't count.
+    // A forged row: approvals for another document or base, by the proposer, or by operators
+    // without the permission don't count.
     change_record forged =
         parse_change(platform.rows[change_key(base::change_id("c"))].body).value();
     forged.id = base::change_id("f");
@@ -236,7 +243,7 @@
 
 BOOST_AUTO_TEST_CASE(a_change_that_has_ended_stays_so)
 {
-    fake_platform platform = started();
+    fake_platform platform = platform_with_sample();
     result_of(run(platform, propose("ana", "c", v1, with_slots)));
     BOOST_TEST(error_of(run(platform, propose("ana", "c", v1, share_2))) == errc::conflict);
     BOOST_TEST(error_of(run(platform, reject("dipu", "c"))) == errc::permission_denied);
@@ -250,18 +257,19 @@
     BOOST_TEST((result_of(run(platform, propose("ana", "d", v1, share_2))).accepted_version == v2));
 }
 
-// Symptom: an accepted change is reported as failed, or is accepted twice. Sequence: the reply to
-// any one step is lost, with or without effect, or the platform is out; then the operator repeats.
+// Guards against an accepted change that is reported as failed or accepted twice. Sequence: the
+// reply to any one step is lost, with or without effect, or the platform is unavailable; then the
+// operator repeats the command.
 BOOST_AUTO_TEST_CASE(a_lost_reply_or_an_outage_at_any_step_is_resolved)
 {
-    for (const fault& broken : {lost, lost_without_effect, unavailable})
+    for (const fault& injected_fault : {lost, lost_without_effect, unavailable})
     {
-        for (int at = 0; at < 12; ++at)
+        for (int fault_step = 0; fault_step < 12; ++fault_step)
         {
-            fake_platform platform = started();
-            run(platform, propose("ana", "c", v1, with_slots), at, broken);
+            fake_platform platform = platform_with_sample();
+            run(platform, propose("ana", "c", v1, with_slots), fault_step, injected_fault);
             result_of(run(platform, propose("ana", "c", v1, with_slots)));
-            run(platform, approve("bela", "c", v1, with_slots), at, broken);
+            run(platform, approve("bela", "c", v1, with_slots), fault_step, injected_fault);
             const auto again = result_of(run(platform, approve("bela", "c", v1, with_slots)));
             BOOST_TEST((again.accepted_version == v2));
             BOOST_TEST(platform.log().size() == 2U);
@@ -270,14 +278,14 @@
     }
 }
 
-// Symptom: "nothing was written" for a change that is in force.
+// Guards against the error "nothing was written" for a change that was written.
 BOOST_AUTO_TEST_CASE(unavailable_is_said_only_when_nothing_was_written)
 {
-    for (int at = 0; at < 8; ++at)
+    for (int fault_step = 0; fault_step < 8; ++fault_step)
     {
-        fake_platform platform = started();
+        fake_platform platform = platform_with_sample();
         const auto rows = platform.rows.size();
-        const auto step = run(platform, propose("ana", "c", v1, share_2), at, unavailable);
+        const auto step = run(platform, propose("ana", "c", v1, share_2), fault_step, unavailable);
         if (const auto* failure = std::get_if<base::error>(&step))
         {
             const bool is_written = platform.rows.size() != rows;
@@ -286,7 +294,7 @@
     }
 }
 
-// Symptom: the operator whose account a change removes is told that nobody knows them, though the
+// Guards against `unauthenticated` for the operator whose account a change removes, although the
 // change is in force. Sequence: the reply to the last write is lost.
 BOOST_AUTO_TEST_CASE(a_change_that_removes_its_proposer_is_still_confirmed)
 {
@@ -294,7 +302,7 @@
     without_ana["operators"] = QJsonObject{{"bela", account("bela", true, true)},
                                            {"chitra", account("chitra", true, true)}};
     without_ana["review"] = QJsonArray();
-    fake_platform platform = started();
+    fake_platform platform = platform_with_sample();
     QJsonObject free_rules = sample_json();
     free_rules["review"] = QJsonArray{QJsonObject{{"part", "*"}, {"approvals", 0}}};
     result_of(run(platform, propose("ana", "free", v1, free_rules)));
@@ -305,21 +313,21 @@
     BOOST_TEST((result_of(step).accepted_version == base::config_version{3}));
 }
 
-// Symptom: a document that nobody can read is in force. Cause: the object was written only in part.
+// Guards against an unreadable document in force. Cause: the object was truncated when written.
 BOOST_AUTO_TEST_CASE(a_half_written_object_is_not_accepted_and_proposing_again_heals_it)
 {
-    fake_platform platform = started();
+    fake_platform platform = platform_with_sample();
     result_of(run(platform, propose("ana", "c", v1, with_slots)));
     QByteArray& object = platform.objects[object_name(made(with_slots).hash())];
     object.truncate(object.size() / 2);
     BOOST_TEST(error_of(run(platform, approve("bela", "c", v1, with_slots))) == errc::corrupt);
     BOOST_TEST((platform.head().version == v1));
     const auto healed = result_of(run(platform, propose("ana", "c", v1, with_slots)));
-    BOOST_TEST((healed.accepted_version == v2));  // Bela's approval was noted already.
+    BOOST_TEST((healed.accepted_version == v2));  // Bela's approval was already stored.
 }
 
-// Symptom: the fleet goes back to version 1. Cause: the platform's table was emptied or restored
-// from an old copy, and the settings' operators start afresh.
+// Guards against a fleet that reverts to version 1. Cause: the platform's table was emptied or
+// restored from an old copy, and bootstrap operators propose a first configuration again.
 BOOST_AUTO_TEST_CASE(a_store_that_has_lost_versions_is_refused)
 {
     fake_platform platform;
@@ -331,8 +339,8 @@
     BOOST_TEST(error_of(step) == errc::corrupt);
 }
 
-// Symptom: two changes of one base are both accepted, or neither. Sequence: two routers carry out
-// two proposals at the same time; every interleaving of their steps is tried.
+// Guards against two changes on one base that are both accepted, or neither. Sequence: two routers
+// execute two proposals concurrently; every interleaving of their steps is tried.
 BOOST_AUTO_TEST_CASE(of_two_that_race_exactly_one_wins)
 {
     const auto check =
@@ -346,13 +354,14 @@
         BOOST_TEST_REQUIRE(platform.head().change.str() == (a_won ? "a" : "b"));
     };
     race all(check);
-    all.run(started(), propose("ana", "a", v1, share_2), propose("ana", "b", v1, sample_json(3)));
+    all.run(platform_with_sample(), propose("ana", "a", v1, share_2),
+            propose("ana", "b", v1, sample_json(3)));
     BOOST_TEST_MESSAGE(all.interleavings() << " interleavings");
     BOOST_TEST(all.interleavings() > 1000U);
 }
 
-// Symptom: an approver is told that the change is out of date though it has just been accepted, by
-// the other's approval. Sequence: the acceptance falls between two reads.
+// Guards against a conflict reported to an approver for a change that another approver's approval
+// has just completed. Sequence: the acceptance happens between two reads.
 BOOST_AUTO_TEST_CASE(two_approvers_at_once_are_both_told_that_it_is_accepted)
 {
     const auto check =
@@ -362,7 +371,7 @@
         BOOST_TEST_REQUIRE((result_of(b).accepted_version == v2));
         BOOST_TEST_REQUIRE(platform.log().size() == 2U);
     };
-    fake_platform platform = started();
+    fake_platform platform = platform_with_sample();
     result_of(run(platform, propose("ana", "c", v1, with_slots)));
     race all(check);
     all.run(platform, approve("bela", "c", v1, with_slots), approve("chitra", "c", v1, with_slots));
--- a/tests/config/check_test.cpp
+++ b/tests/config/check_test.cpp
@@ -12,9 +12,9 @@
 namespace
 {
 
-/// Whether a problem of this place is there, its message containing `message`.
-bool has(const problems& found, const std::string& file, const std::string& pointer,
-         const std::string& message)
+/// Whether there is a problem at this location whose message contains `message`.
+bool has_problem(const problems& found, const std::string& file, const std::string& pointer,
+                 const std::string& message)
 {
     return std::any_of(found.begin(), found.end(),
                        [&](const problem& one)
@@ -40,8 +40,8 @@
 
 BOOST_AUTO_TEST_SUITE(checks)
 
-// Symptom: an operator's mistake gets into force, or is refused without saying where it is.
-// Each of these texts is the second file of a folder whose first is sound.
+// Guards against an operator's mistake that comes into force, or is refused without its location.
+// Each of these texts is the second file of a folder whose first file is valid.
 BOOST_AUTO_TEST_CASE(bad_files_are_refused_with_file_pointer_and_expectation)
 {
     const QByteArray digits = QByteArray::fromStdString(key("rotas"));
@@ -96,27 +96,27 @@
                               bad.message == "expected a key of its own";
         const bool in_upstream = bad.pointer == "/upstreams/runner-1/service";
         const std::string file = in_first || in_upstream ? "10-all.json" : "20-second.json";
-        BOOST_TEST(has(found, file, bad.pointer, bad.message), bad.text.toStdString()
-                                                                   << " gave: " << to_text(found));
+        BOOST_TEST(has_problem(found, file, bad.pointer, bad.message),
+                   bad.text.toStdString() << " gave: " << to_text(found));
     }
 }
 
-// Symptom: after an accepted change nobody can change the configuration any more.
+// Guards against an accepted change after which no operator can change the configuration.
 BOOST_AUTO_TEST_CASE(nobody_can_be_locked_out)
 {
     const char* const nobody_proposes = "{\"operators\": {\"ana\": {\"may_propose\": false}}}";
-    BOOST_TEST(
-        has(check_beside_sample(nobody_proposes), "10-all.json", "/operators", "may propose"));
-    // Ana proposes, so only Bela is left to approve what needs two.
+    BOOST_TEST(has_problem(check_beside_sample(nobody_proposes), "10-all.json", "/operators",
+                           "may propose"));
+    // Ana proposes, so only Bela remains to approve a change that requires two approvals.
     const char* const too_few = "{\"operators\": {\"chitra\": null}}";
-    BOOST_TEST(has(check_beside_sample(too_few), "10-all.json", "/operators",
-                   "expected 2 operators with a key who may approve beside the proposer"));
+    BOOST_TEST(has_problem(check_beside_sample(too_few), "10-all.json", "/operators",
+                           "expected 2 operators with a key who may approve beside the proposer"));
     const char* const no_key = "{\"operators\": {\"chitra\": {\"key_hashes\": []}}}";
     BOOST_TEST(!check_beside_sample(no_key).empty());
     BOOST_TEST(check_beside_sample("{\"operators\": {\"dipu\": null}}").empty());
 }
 
-BOOST_AUTO_TEST_CASE(all_problems_are_told_at_once)
+BOOST_AUTO_TEST_CASE(all_problems_are_reported_at_once)
 {
     const problems found = check_beside_sample(
         "{\"x\": 1, \"y\": 1, \"services\": {\"s\": {}}, \"upstreams\": {\"u\": {\"service\": "
@@ -124,8 +124,8 @@
     BOOST_TEST(found.size() == 5U, to_text(found));
 }
 
-// Symptom: a file with a stray comma is reported along with a dozen names that lead nowhere, all of
-// which stand in that file.
+// Guards against consequential errors: a file with a stray comma is reported along with a dozen
+// unknown names, all of which are defined in that file.
 BOOST_AUTO_TEST_CASE(a_file_left_out_does_not_cause_further_problems)
 {
     QJsonObject rest = sample_json();
@@ -135,7 +135,7 @@
     BOOST_TEST(found.size() == 1U, to_text(found));
 }
 
-// Symptom: the process dies on a long string. Cause: std::regex recurses once a character under an
+// Guards against a crash on a long string. Cause: std::regex recurses once per character in an
 // unbounded repetition.
 BOOST_AUTO_TEST_CASE(long_strings_and_names_are_refused_not_fatal)
 {
@@ -144,7 +144,8 @@
                                                "\": {}, \"rotas\": {\"key_hashes\": [\"" +
                                                endless.left(400000) + "\"]}}}");
     BOOST_TEST(found.size() == 2U);
-    BOOST_TEST(has(check_files({{"a", endless + endless}}).found, "a", "", "expected at most"));
+    BOOST_TEST(
+        has_problem(check_files({{"a", endless + endless}}).found, "a", "", "expected at most"));
 }
 
 BOOST_AUTO_TEST_CASE(files_are_merged_in_the_order_of_their_names)
@@ -162,7 +163,7 @@
     BOOST_TEST(content.review.empty());
 }
 
-// Symptom: half of a document is in force. Cause: it was written only in part, or altered.
+// Guards against a truncated or altered document in force.
 BOOST_AUTO_TEST_CASE(a_document_that_does_not_match_its_hash_is_corrupt)
 {
     const document whole = made(sample_json());
--- a/tests/config/fake_platform.hpp
+++ b/tests/config/fake_platform.hpp
@@ -9,7 +9,7 @@
 namespace caraway::config::test
 {
 
-/// The platform's table and object store as far as the coordinator needs them.
+/// In-memory table and object store of the platform, as far as `acceptance` uses them.
 class fake_platform
 {
 public:
@@ -21,7 +21,7 @@
         return std::visit([this](const auto& one) { return apply_one(one); }, action);
     }
 
-    /// Accepted so far, from the log.
+    /// All acceptances, from the log rows.
     std::vector<log_record> log() const
     {
         std::vector<log_record> all;
@@ -78,10 +78,10 @@
         for (const put_row& put : action.puts)
         {
             const auto row = rows.find(put.key);
-            const bool holds = put.expected_rev
-                                   ? row != rows.end() && row->second.rev == *put.expected_rev
-                                   : row == rows.end();
-            if (!holds)
+            const bool is_met = put.expected_rev
+                                    ? row != rows.end() && row->second.rev == *put.expected_rev
+                                    : row == rows.end();
+            if (!is_met)
             {
                 return {reply_status::conflict, {}, {}};
             }
--- a/tests/config/review_test.cpp
+++ b/tests/config/review_test.cpp
@@ -12,7 +12,7 @@
 
 BOOST_AUTO_TEST_SUITE(reviews)
 
-// Symptom: an approver can't tell what a change does, or reads a whole key hash in a log.
+// Guards against differences that don't show what a change does, or that show a whole key hash.
 BOOST_AUTO_TEST_CASE(differences_are_typed_and_show_no_whole_hash)
 {
     QJsonObject after = with(sample_json(2), {"operators", "dipu"}, QJsonValue::Undefined);
@@ -36,7 +36,7 @@
     }
 }
 
-// Symptom: a change that touches a guarded part slips through by touching an unguarded one too.
+// Guards against a change that avoids a strict rule by also touching a part with a lax rule.
 BOOST_AUTO_TEST_CASE(the_strictest_of_the_touched_parts_decides)
 {
     const configuration accepted = made(sample_json()).content();
@@ -46,7 +46,7 @@
     BOOST_TEST(required_approvals(configuration(), {"services"}) == default_approvals);
 }
 
-// Symptom: a row that was cut short or altered is taken for a decision.
+// Guards against a truncated or altered row that is accepted as a valid record.
 BOOST_AUTO_TEST_CASE(rows_that_cannot_be_read_are_corrupt)
 {
     const change_record change{
--- a/tests/config/sample.hpp
+++ b/tests/config/sample.hpp
@@ -13,7 +13,7 @@
 namespace caraway::config::test
 {
 
-/// The hash of a made-up key.
+/// The hash of a test key that is unique per holder.
 inline sha256_hex key(const std::string& holder)
 {
     return sha256("key of " + QByteArray::fromStdString(holder));
@@ -26,8 +26,8 @@
             {"may_approve", may_approve}};
 }
 
-/// Ana proposes and approves, Bela and Chitra approve, Dipu only looks. Operators and review need
-/// two approvals, workspaces none, all else one.
+/// Ana may propose and approve, Bela and Chitra may approve, Dipu may do neither. The parts
+/// operators and review require two approvals, workspaces none, all others one.
 inline QJsonObject sample_json(double share = 1)
 {
     return {
@@ -54,7 +54,7 @@
     return QJsonDocument(json).toJson(QJsonDocument::Compact);
 }
 
-/// A checked document; the test fails when it has problems.
+/// Checks a configuration and returns its document; the test fails when there are problems.
 inline document made(const QJsonObject& json)
 {
     check_report report = check_files({{"all.json", bytes(json)}});
@@ -62,7 +62,7 @@
     return *report.checked;
 }
 
-/// The sample with one member set, by a path of names.
+/// The configuration with one member set, addressed by a path of member names.
 inline QJsonObject with(QJsonObject json, const QStringList& path, const QJsonValue& value)
 {
     if (path.size() == 1)
--- a/tests/config/settings_test.cpp
+++ b/tests/config/settings_test.cpp
@@ -13,23 +13,23 @@
 namespace
 {
 
-const QByteArray least = R"({"node": "n1", "address": "127.0.0.2", "zone": "a",
+const QByteArray minimal_settings = R"({"node": "n1", "address": "127.0.0.2", "zone": "a",
                              "fleet_key": "a key that nobody shows"})";
 
 settings_report with_override(const std::string& text)
 {
     const auto one = parse_override(text);
     BOOST_TEST_REQUIRE(one.has_value());
-    return read_settings("node.json", least, {*one});
+    return read_settings("node.json", minimal_settings, {*one});
 }
 
 }  // namespace
 
 BOOST_AUTO_TEST_SUITE(settings)
 
-BOOST_AUTO_TEST_CASE(what_is_left_out_has_its_default_and_an_override_goes_first)
+BOOST_AUTO_TEST_CASE(omitted_settings_have_defaults_and_overrides_take_precedence)
 {
-    const settings_report plain = read_settings("node.json", least);
+    const settings_report plain = read_settings("node.json", minimal_settings);
     BOOST_TEST_REQUIRE(plain.settings.has_value(), to_text(plain.found));
     BOOST_TEST(plain.settings->ports.callers == 8080);
     BOOST_TEST(plain.settings->http.body_bytes == 8U << 20U);
@@ -41,7 +41,7 @@
     BOOST_TEST((seeds[1] == seed_address{"::1", 1}));
 }
 
-// Symptom: a process runs with other settings than its operator wrote, without a word.
+// Guards against a process that silently runs with other settings than its operator wrote.
 BOOST_AUTO_TEST_CASE(bad_settings_are_refused_with_pointer_and_expectation)
 {
     const std::pair<const char*, const char*> table[] = {
@@ -66,15 +66,15 @@
     }
     BOOST_TEST(!parse_override("ports=1"));
     BOOST_TEST(!parse_override(""));
-    const settings_report twice = read_settings("f", "{\"node\": \"a\", \"node\": \"b\"}");
-    BOOST_TEST(to_text(twice.found).find("stands twice") != std::string::npos);
+    const settings_report duplicate = read_settings("f", "{\"node\": \"a\", \"node\": \"b\"}");
+    BOOST_TEST(to_text(duplicate.found).find("stands twice") != std::string::npos);
 }
 
-// Symptom: the fleet key stands in a log or in a dump.
+// Guards against the fleet key in a log or in a dump.
 BOOST_AUTO_TEST_CASE(secrets_are_never_shown)
 {
     const std::string secret = "a key that nobody shows";
-    const settings_report report = read_settings("node.json", least);
+    const settings_report report = read_settings("node.json", minimal_settings);
     BOOST_TEST(report.settings->fleet_key.key == secret);
     for (const QJsonObject& shown : {report.redacted, redacted(*report.settings)})
     {
@@ -85,12 +85,12 @@
     BOOST_TEST(to_text(bad.found).find("short secret") == std::string::npos);
 }
 
-// Symptom: the dump of a process shows fewer settings than there are.
+// Guards against settings that are missing from a process's dump.
 BOOST_AUTO_TEST_CASE(the_redacted_view_shows_every_setting)
 {
     const QJsonObject schema = QJsonDocument::fromJson(schema_text(schema_name::settings)).object();
     const QJsonObject groups = schema["properties"].toObject();
-    const QJsonObject shown = redacted(*read_settings("node.json", least).settings);
+    const QJsonObject shown = redacted(*read_settings("node.json", minimal_settings).settings);
     for (const QString& group : groups.keys())
     {
         const QJsonObject members = groups[group].toObject()["properties"].toObject();
@@ -98,9 +98,9 @@
         for (const QString& member : members.keys())
         {
             BOOST_TEST(shown[group].toObject().contains(member), member.toStdString());
-            // The schema's defaults are those of the code.
-            const QJsonValue stated = members[member].toObject()["default"];
-            BOOST_TEST((shown[group].toObject()[member] == stated), member.toStdString());
+            // The defaults in the schema and in the code must be equal.
+            const QJsonValue schema_default = members[member].toObject()["default"];
+            BOOST_TEST((shown[group].toObject()[member] == schema_default), member.toStdString());
         }
     }
 }
