--- a/src/libcaraway/config/acceptance.cpp
+++ b/src/libcaraway/config/acceptance.cpp
@@ -56,10 +56,9 @@
     return fail(base::errc::internal, "no such stage");
 }
 
-// The head is read before the change. If the head's version is already above the change's base and
-// the change is still open when read afterwards, then another change was accepted on that base. In
-// the opposite order, a change that is accepted between the two reads would be reported as a
-// conflict with itself.
+// The head is read before the change: if its version is above the base of a change that is still
+// open when read afterwards, another change was accepted on that base. In the opposite order, a
+// change that is accepted between the two reads would be reported as a conflict with itself.
 acceptance_step acceptance::on_head(const platform_reply& reply)
 {
     head_ = {};
--- a/src/libcaraway/config/records.cpp
+++ b/src/libcaraway/config/records.cpp
@@ -102,7 +102,7 @@
 
 base::error corrupt_row(const char* row_name)
 {
-    return base::make_error(base::errc::corrupt_row,
+    return base::make_error(base::errc::corrupt,
                             std::string("row of ") + row_name + " can't be read");
 }
 
--- a/src/libcaraway/config/version_tracker.cpp
+++ b/src/libcaraway/config/version_tracker.cpp
@@ -86,7 +86,7 @@
     const auto known = pending_.find(version);
     if (known == pending_.end())
     {
-        return base::make_error(base::errc::conflict, "this version is not pending");
+        return base::make_error(base::errc::conflict, "this version is not wanted any more");
     }
     known->second.fetching = false;
     BOOST_OUTCOME_TRY(fetched_document, document::from_bytes(bytes, known->second.hash));
