--- a/src/libcaraway/wire/cbor_reader.cpp
+++ b/src/libcaraway/wire/cbor_reader.cpp
@@ -8,16 +8,16 @@
 namespace
 {
 
-/// Nesting of a value that is stepped over; ours needs less.
+/// Deepest nesting of a skipped value; the messages of this format nest less deeply.
 constexpr int max_depth = 16;
 
 }  // namespace
 
 cbor_reader::cbor_reader(const QByteArray& bytes) : reader_(bytes) {}
 
-std::uint64_t cbor_reader::integer(std::uint64_t most)
+std::uint64_t cbor_reader::integer(std::uint64_t max_value)
 {
-    if (failed_ || !reader_.isUnsignedInteger() || reader_.toUnsignedInteger() > most)
+    if (failed_ || !reader_.isUnsignedInteger() || reader_.toUnsignedInteger() > max_value)
     {
         fail();
         return 0;
@@ -69,7 +69,7 @@
         fail();
         return {};
     }
-    // The reader moves on when it has been told that no chunk follows.
+    // Qt advances to the next value only after a read has returned EndOfString.
     const auto end = reader_.readStringChunk(nullptr, 0);
     if (end.status != QCborStreamReader::EndOfString)
     {
@@ -97,9 +97,9 @@
     return !reader_.hasNext() && reader_.containerDepth() == 0;
 }
 
-std::size_t cbor_reader::begin_array(std::size_t most)
+std::size_t cbor_reader::begin_array(std::size_t max_length)
 {
-    if (failed_ || !reader_.isArray() || !reader_.isLengthKnown() || reader_.length() > most)
+    if (failed_ || !reader_.isArray() || !reader_.isLengthKnown() || reader_.length() > max_length)
     {
         fail();
         return 0;
--- a/src/libcaraway/wire/cbor_reader.hpp
+++ b/src/libcaraway/wire/cbor_reader.hpp
@@ -12,9 +12,10 @@
 namespace caraway::wire
 {
 
-/// Reads CBOR that may hold anything, without a check after each step: the first thing that doesn't
-/// fit makes the reader fail, after which it gives zeros and empty values. Lengths and counts are
-/// bounded before anything is allocated. Chunked strings and open-ended arrays are refused.
+/// Reads untrusted CBOR with a sticky error state, so that callers need not check after each read:
+/// after the first value of an unexpected type or size, failed() is true and all reads return zero
+/// or empty values. Lengths and counts are checked against their bounds before any allocation.
+/// Chunked strings and arrays of indefinite length are rejected.
 class cbor_reader
 {
 public:
@@ -29,29 +30,30 @@
         failed_ = true;
     }
 
-    std::uint64_t integer(std::uint64_t most = std::numeric_limits<std::uint64_t>::max());
-    /// An integer or a double; never an infinity or not-a-number.
+    std::uint64_t integer(std::uint64_t max_value = std::numeric_limits<std::uint64_t>::max());
+    /// Reads an unsigned integer or a finite double; infinities and NaN make the reader fail.
     double number();
     std::string text(std::size_t max_bytes);
     std::string bytes(std::size_t max_bytes);
     bool is_null() const;
-    /// Steps over one value of any kind.
+    /// Skips one value of any type, nested values included.
     void skip();
-    /// Whether anything is left at the outermost level.
+    /// Whether all values of the outermost level have been read.
     bool at_end() const;
 
-    /// Enters an array; returns its length, at most `most`.
-    std::size_t begin_array(std::size_t most);
-    /// More elements in the array that was entered last.
+    /// Enters an array and returns its length; fails if the length is above `max_length`.
+    std::size_t begin_array(std::size_t max_length);
+    /// Whether the innermost open array has more elements.
     bool has_next() const;
-    /// Leaves it; elements that were not read are skipped, as what a newer version appended.
+    /// Leaves the innermost open array. Unread elements are skipped: a newer version may have
+    /// appended them.
     void end_array();
 
-    /// An array of at most `most` values, each read by `read_one(cbor_reader&, T&)`.
+    /// Reads an array of at most `max_length` values, each with `read_one(cbor_reader&, T&)`.
     template <class T, class ReadOne>
-    void list(std::vector<T>& values, std::size_t most, ReadOne read_one)
+    void read_list(std::vector<T>& values, std::size_t max_length, ReadOne read_one)
     {
-        const std::size_t count = begin_array(most);
+        const std::size_t count = begin_array(max_length);
         for (std::size_t i = 0; i < count && !failed_; ++i)
         {
             read_one(*this, values.emplace_back());
--- a/src/libcaraway/wire/cbor_writer.cpp
+++ b/src/libcaraway/wire/cbor_writer.cpp
@@ -12,8 +12,8 @@
 
 void write(QCborStreamWriter& out, double value)
 {
-    constexpr double exact_up_to = 9007199254740992.0;  // 2^53
-    if (value >= 0 && value < exact_up_to && std::floor(value) == value)
+    constexpr double exact_integers_end = 9007199254740992.0;  // 2^53
+    if (value >= 0 && value < exact_integers_end && std::floor(value) == value)
     {
         out.append(static_cast<quint64>(value));
         return;
--- a/src/libcaraway/wire/cbor_writer.hpp
+++ b/src/libcaraway/wire/cbor_writer.hpp
@@ -12,7 +12,8 @@
 {
 
 void write(QCborStreamWriter& out, std::uint64_t value);
-/// As an integer where that loses nothing: shorter, and most costs are whole.
+/// Writes non-negative whole numbers below 2^53 as integers: the encoding is exact and shorter, and
+/// most costs are whole numbers.
 void write(QCborStreamWriter& out, double value);
 void write_text(QCborStreamWriter& out, const std::string& value);
 
@@ -22,7 +23,7 @@
     write_text(out, id.str());
 }
 
-/// An array of values, each written by `write_one(QCborStreamWriter&, const T&)`.
+/// Writes an array of values, each with `write_one(QCborStreamWriter&, const T&)`.
 template <class T, class WriteOne>
 void write_list(QCborStreamWriter& out, const std::vector<T>& values, WriteOne write_one)
 {
--- a/src/libcaraway/wire/codec.cpp
+++ b/src/libcaraway/wire/codec.cpp
@@ -15,10 +15,11 @@
 namespace
 {
 
-/// Rises when a reader of the former format would misread the new one; else fields are appended.
+/// Raised only for changes that an older reader would misinterpret; compatible changes append
+/// fields.
 constexpr std::uint64_t format_version = 1;
 
-/// Stable: a number is never given to another kind.
+/// Wire values: a number is never reused for another kind.
 enum class kind : std::uint64_t
 {
     probe = 1,
@@ -34,7 +35,7 @@
     totals_reply = 19,
 };
 
-/// The kind of a message and how many fields write_fields() writes for it.
+/// The kind of a message and the number of elements that write_fields() writes for the message.
 template <kind Kind, std::uint64_t Fields>
 struct format
 {
@@ -70,12 +71,12 @@
 
 void write_message(QCborStreamWriter& out, const membership::message& value)
 {
-    std::visit([&](const auto& each) { write_message(out, each); }, value);
+    std::visit([&](const auto& alternative) { write_message(out, alternative); }, value);
 }
 
-void write_any(QCborStreamWriter& out, const message& value)
+void write_variant(QCborStreamWriter& out, const message& value)
 {
-    std::visit([&](const auto& each) { write_message(out, each); }, value);
+    std::visit([&](const auto& alternative) { write_message(out, alternative); }, value);
 }
 
 template <class T>
@@ -93,10 +94,10 @@
     }
 }
 
-/// Nothing for a kind that this version does not know.
-std::optional<message> read_fields_of(cbor_reader& in, kind of)
+/// Returns nullopt for a kind unknown to this version.
+std::optional<message> read_message_of_kind(cbor_reader& in, kind message_kind)
 {
-    switch (of)
+    switch (message_kind)
     {
     case kind::probe:
         return read_message<membership::probe>(in);
@@ -130,7 +131,7 @@
     for (std::size_t i = 0; i < count && !in.failed(); ++i)
     {
         in.begin_array(max_fields);
-        if (auto known = read_fields_of(in, static_cast<kind>(in.integer())))
+        if (auto known = read_message_of_kind(in, static_cast<kind>(in.integer())))
         {
             messages.push_back(std::move(*known));
         }
@@ -143,12 +144,12 @@
 {
     QByteArray bytes;
     QCborStreamWriter out(&bytes);
-    write_any(out, value);
+    write_variant(out, value);
     return bytes;
 }
 
-/// An envelope round messages that are encoded already.
-QByteArray enclose(const envelope& value, const QByteArray& messages, std::uint64_t count)
+/// Wraps messages that are already encoded in an envelope.
+QByteArray wrap(const envelope& value, const QByteArray& messages, std::uint64_t count)
 {
     QByteArray bytes;
     QCborStreamWriter out(&bytes);
@@ -157,8 +158,8 @@
     write_fields(out, value.from);
     write_fields(out, value.to);
     out.startArray(count);
-    // Qt's writer can't take encoded elements. It buffers nothing, and an array of known length has
-    // no end mark, so that the elements can simply follow.
+    // Qt's writer has no call to append encoded elements. The writer is unbuffered, and an array of
+    // known length has no end marker, so the encoded elements can be appended to the bytes.
     return bytes + messages;
 }
 
@@ -173,11 +174,11 @@
 QByteArray encode(const envelope& value)
 {
     QByteArray messages;
-    for (const auto& each : value.messages)
+    for (const auto& item : value.messages)
     {
-        messages += encode_message(each);
+        messages += encode_message(item);
     }
-    return enclose(value, messages, value.messages.size());
+    return wrap(value, messages, value.messages.size());
 }
 
 base::result<envelope> decode(const QByteArray& bytes)
@@ -207,32 +208,32 @@
 
 std::vector<QByteArray> pack(const envelope& value, std::size_t target_bytes)
 {
-    const auto frame =
-        static_cast<std::size_t>(enclose(value, {}, std::uint64_t{max_messages}).size());
+    const auto header_size =
+        static_cast<std::size_t>(wrap(value, {}, std::uint64_t{max_messages}).size());
     std::vector<QByteArray> packed;
     QByteArray pending;
     std::uint64_t count = 0;
-    const auto close = [&]
+    const auto flush = [&]
     {
         if (count > 0)
         {
-            packed.push_back(enclose(value, pending, count));
+            packed.push_back(wrap(value, pending, count));
         }
         pending.clear();
         count = 0;
     };
-    for (const auto& each : value.messages)
+    for (const auto& item : value.messages)
     {
-        const QByteArray bytes = encode_message(each);
+        const QByteArray bytes = encode_message(item);
         const auto size = static_cast<std::size_t>(pending.size() + bytes.size());
-        if (frame + size > target_bytes || count == max_messages)
+        if (header_size + size > target_bytes || count == max_messages)
         {
-            close();
+            flush();
         }
         pending += bytes;
         ++count;
     }
-    close();
+    flush();
     return packed;
 }
 
--- a/src/libcaraway/wire/codec.hpp
+++ b/src/libcaraway/wire/codec.hpp
@@ -11,38 +11,40 @@
 #include <variant>
 #include <vector>
 
-/// Messages between routers as bytes: CBOR, by Qt's reader and writer.
+/// CBOR encoding of the messages between routers, based on Qt's stream reader and writer.
 namespace caraway::wire
 {
 
 using message = std::variant<membership::message, scheduling::router_report, scheduling::grant_list,
                              scheduling::totals_report, scheduling::totals_reply>;
 
-/// What one datagram holds: messages from one life of a node to one (or any) life of another.
+/// Content of one datagram: messages from one incarnation of a node to a given or any incarnation
+/// of another node.
 struct envelope
 {
     base::node_ref from{};
-    /// An empty id fits whoever receives it; life 0 fits any life.
+    /// An empty id matches any receiver; incarnation 0 matches any incarnation.
     base::node_ref to{};
     std::vector<message> messages{};
 
     friend bool operator==(const envelope&, const envelope&) = default;
 };
 
-/// Whether a datagram for `to` is meant for this life of this node.
+/// Whether a datagram for `to` is addressed to `self`, including its incarnation.
 bool is_addressed_to(const base::node_ref& to, const base::node_ref& self);
 
-/// Larger ones are neither made nor read.
+/// Upper bound on the size of a datagram; decode() rejects larger ones.
 inline constexpr std::size_t max_datagram_bytes = std::size_t{32} * 1024;
 
 QByteArray encode(const envelope& value);
 
-/// Any bytes give an envelope or an error. Kinds of message that this version does not know are
-/// left out, and so are fields that a newer version appended.
+/// Decodes untrusted bytes; returns errc::corrupt if the bytes are not a valid envelope. Messages
+/// of unknown kind and fields appended by a newer version are ignored.
 base::result<envelope> decode(const QByteArray& bytes);
 
-/// The envelope as datagrams of at most `target_bytes` each, messages in order. A single message
-/// that is larger goes alone: it is one state and must not arrive in halves.
+/// Splits the envelope into datagrams of at most `target_bytes` bytes each and keeps the order of
+/// the messages. A message that alone exceeds the limit is sent in a datagram of its own, since its
+/// state must be received as a whole.
 std::vector<QByteArray> pack(const envelope& value, std::size_t target_bytes);
 
 }  // namespace caraway::wire
--- a/src/libcaraway/wire/identity_codec.hpp
+++ b/src/libcaraway/wire/identity_codec.hpp
@@ -19,7 +19,8 @@
     id = base::strong_id<Tag>(in.text(max_id_bytes));
 }
 
-/// Any of the enumerations that only tell numbers of one kind from another.
+/// Reads an integer, or an enumeration used as a strong integer type; fails if the value exceeds
+/// the range of its type.
 template <class Number>
 void read_number(cbor_reader& in, Number& number)
 {
@@ -34,7 +35,7 @@
     number = static_cast<Enum>(in.integer(std::numeric_limits<underlying>::max()));
 }
 
-/// Two elements of the enclosing array: id and life.
+/// The node is written as two elements of the enclosing array: its id and its incarnation.
 void write_fields(QCborStreamWriter& out, const base::node_ref& node);
 void read_fields(cbor_reader& in, base::node_ref& node);
 
--- a/src/libcaraway/wire/membership_codec.cpp
+++ b/src/libcaraway/wire/membership_codec.cpp
@@ -13,24 +13,25 @@
 {
 
 constexpr std::size_t hash_bytes = 32;
-/// announced_state and verdict share one integer.
+/// announced_state and verdict are encoded in one integer: announced_state + 4 * verdict.
 constexpr std::uint64_t verdict_factor = 4;
 
-/// The usual host is left out. Port 0 says that there is no such address at all.
-void write_endpoint(QCborStreamWriter& out, const endpoint& value, const std::string& usual_host)
+/// The host is written as an empty string if it equals `default_host`. Port 0 means that the member
+/// has no such address.
+void write_endpoint(QCborStreamWriter& out, const endpoint& value, const std::string& default_host)
 {
-    const bool is_usual = value.host == usual_host && value.port != 0;
-    write_text(out, is_usual ? std::string() : value.host);
+    const bool is_default = value.host == default_host && value.port != 0;
+    write_text(out, is_default ? std::string() : value.host);
     write(out, std::uint64_t{value.port});
 }
 
-void read_endpoint(cbor_reader& in, endpoint& value, const std::string& usual_host)
+void read_endpoint(cbor_reader& in, endpoint& value, const std::string& default_host)
 {
     value.host = in.text(max_host_bytes);
     read_number(in, value.port);
     if (value.host.empty() && value.port != 0)
     {
-        value.host = usual_host;
+        value.host = default_host;
     }
 }
 
@@ -152,7 +153,7 @@
     in.end_array();
 }
 
-/// The hash travels as its 32 bytes.
+/// The hash is sent in binary form, 32 bytes.
 void write_fields(QCborStreamWriter& out, const configuration_mark& value)
 {
     write(out, static_cast<std::uint64_t>(value.version));
@@ -173,7 +174,7 @@
     value.hash = hash.toHex().toStdString();
 }
 
-/// One string of bytes, the most significant of each number first.
+/// Writes the buckets as one byte string of big-endian 32-bit integers.
 void write_view(QCborStreamWriter& out, const view_digest& value)
 {
     QByteArray bytes(sizeof(value), '\0');
@@ -265,7 +266,7 @@
 
 void read_fields(cbor_reader& in, sync_reply& value)
 {
-    in.list(value.members, max_members, read_update);
+    in.read_list(value.members, max_members, read_update);
     read(in, value.next_after);
 }
 
@@ -286,9 +287,9 @@
     read_number(in, value.configuration);
     read_fields(in, value.newest);
     read_number(in, value.view);
-    in.list(value.updates, max_members, read_update);
-    in.list(value.samples, max_samples, read_sample);
-    in.list(value.entries, max_entries, read_entry);
+    in.read_list(value.updates, max_members, read_update);
+    in.read_list(value.samples, max_samples, read_sample);
+    in.read_list(value.entries, max_entries, read_entry);
 }
 
 }  // namespace caraway::wire
--- a/src/libcaraway/wire/scheduling_codec.cpp
+++ b/src/libcaraway/wire/scheduling_codec.cpp
@@ -215,13 +215,13 @@
     read_number(in, value.owner_life);
     read_number(in, value.view);
     read_number(in, value.last_grant);
-    in.list(value.declined, max_scheduling_elements, read_grant_number);
-    in.list(value.demands, max_scheduling_elements, read_demand);
-    in.list(value.holdings, max_scheduling_elements, read_holding);
-    in.list(value.ejected, max_scheduling_elements, read_upstream);
-    std::uint64_t kept = 0;
-    read_number(in, kept);
-    value.demands_kept = kept != 0;
+    in.read_list(value.declined, max_scheduling_elements, read_grant_number);
+    in.read_list(value.demands, max_scheduling_elements, read_demand);
+    in.read_list(value.holdings, max_scheduling_elements, read_holding);
+    in.read_list(value.ejected, max_scheduling_elements, read_upstream);
+    std::uint64_t unchanged = 0;
+    read_number(in, unchanged);
+    value.demands_kept = unchanged != 0;
 }
 
 void write_fields(QCborStreamWriter& out, const grant_list& value)
@@ -234,8 +234,8 @@
 void read_fields(cbor_reader& in, grant_list& value)
 {
     read_number(in, value.router_life);
-    in.list(value.grants, max_scheduling_elements, read_grant);
-    in.list(value.free, max_scheduling_elements, read_free);
+    in.read_list(value.grants, max_scheduling_elements, read_grant);
+    in.read_list(value.free, max_scheduling_elements, read_free);
 }
 
 void write_fields(QCborStreamWriter& out, const totals_report& value)
@@ -249,9 +249,9 @@
 void read_fields(cbor_reader& in, totals_report& value)
 {
     read_number(in, value.sequence);
-    in.list(value.totals, max_scheduling_elements, read_total);
-    in.list(value.wanted, max_scheduling_elements, read_account);
-    in.list(value.floors, max_scheduling_elements, read_floor);
+    in.read_list(value.totals, max_scheduling_elements, read_total);
+    in.read_list(value.wanted, max_scheduling_elements, read_account);
+    in.read_list(value.floors, max_scheduling_elements, read_floor);
 }
 
 void write_fields(QCborStreamWriter& out, const totals_reply& value)
@@ -265,8 +265,8 @@
 void read_fields(cbor_reader& in, totals_reply& value)
 {
     read_number(in, value.sequence);
-    in.list(value.sums, max_scheduling_elements, read_sum);
-    in.list(value.floors, max_scheduling_elements, read_floor);
+    in.read_list(value.sums, max_scheduling_elements, read_sum);
+    in.read_list(value.floors, max_scheduling_elements, read_floor);
     read_number(in, value.interval_ms);
 }
 
--- a/src/libcaraway/wire/scheduling_codec.hpp
+++ b/src/libcaraway/wire/scheduling_codec.hpp
@@ -8,7 +8,7 @@
 namespace caraway::wire
 {
 
-/// The fields of one message, as elements of an array that is open.
+/// Writes the fields of one message as elements of the array that is already open in `out`.
 void write_fields(QCborStreamWriter& out, const scheduling::router_report& value);
 void write_fields(QCborStreamWriter& out, const scheduling::grant_list& value);
 void write_fields(QCborStreamWriter& out, const scheduling::totals_report& value);
--- a/src/libcaraway/wire/sealing.cpp
+++ b/src/libcaraway/wire/sealing.cpp
@@ -10,21 +10,21 @@
 {
 
 constexpr qsizetype tag_bytes = 16;
-/// Keeps a tag from being of use should the same key ever authenticate something else.
-constexpr char domain[] = "caraway datagram 1";
+/// Domain separation: a tag is useless elsewhere if the same key also authenticates other data.
+constexpr char domain_prefix[] = "caraway datagram 1";
 
-QByteArray tag_of(key_id id, const QByteArray& key, const QByteArray& payload)
+QByteArray compute_tag(key_id id, const QByteArray& key, const QByteArray& payload)
 {
     QMessageAuthenticationCode code(QCryptographicHash::Sha256, key);
-    code.addData(domain, sizeof(domain));
+    code.addData(domain_prefix, sizeof(domain_prefix));
     const char id_byte = static_cast<char>(id);
     code.addData(&id_byte, 1);
     code.addData(payload);
     return code.result().first(tag_bytes);
 }
 
-/// Takes as long wherever the first difference is; a comparison that stops there would let a
-/// stranger find the right tag byte by byte.
+/// The duration does not depend on the position of the first difference. A comparison that returned
+/// early would let an attacker find the right tag byte by byte.
 bool equal_in_constant_time(const QByteArray& a, const QByteArray& b)
 {
     if (a.size() != b.size())
@@ -44,7 +44,7 @@
 QByteArray seal(const key_ring& ring, const QByteArray& payload)
 {
     QByteArray sealed(1, static_cast<char>(ring.active));
-    sealed += tag_of(ring.active, ring.keys.at(ring.active), payload);
+    sealed += compute_tag(ring.active, ring.keys.at(ring.active), payload);
     return sealed + payload;
 }
 
@@ -61,7 +61,7 @@
         return base::make_error(base::errc::unauthenticated, "seal: unknown key");
     }
     QByteArray payload = sealed.mid(static_cast<qsizetype>(seal_bytes));
-    if (!equal_in_constant_time(sealed.mid(1, tag_bytes), tag_of(id, key->second, payload)))
+    if (!equal_in_constant_time(sealed.mid(1, tag_bytes), compute_tag(id, key->second, payload)))
     {
         return base::make_error(base::errc::unauthenticated, "seal: wrong tag");
     }
--- a/src/libcaraway/wire/sealing.hpp
+++ b/src/libcaraway/wire/sealing.hpp
@@ -11,30 +11,33 @@
 namespace caraway::wire
 {
 
-/// Names a key in every datagram, so that an old and a new key both hold during a rotation.
+/// Identifies the key in every datagram, so that old and new keys are both valid during a rotation.
 enum class key_id : std::uint8_t
 {
 };
 
-/// The fleet's secrets. All that are listed are accepted; one is used for sending.
+/// The shared secrets of the fleet. Datagrams sealed with any listed key are accepted; the active
+/// key seals outgoing datagrams.
 struct key_ring
 {
     key_id active{};
     std::map<key_id, QByteArray> keys;
 };
 
-/// Bytes that sealing adds in front.
+/// Size of the header that seal() prepends: 1 byte of key id and 16 bytes of tag.
 inline constexpr std::size_t seal_bytes = 17;
 
-/// Authenticates `payload` (it stays readable): key id, HMAC-SHA256 cut to 16 bytes, payload.
-/// The ring's active key must be in the ring.
+/// Authenticates `payload` without encrypting it. The result is the key id, the HMAC-SHA256
+/// truncated to 16 bytes, and the payload. The active key must be in the ring.
 QByteArray seal(const key_ring& ring, const QByteArray& payload);
 
-/// The payload, if it was sealed with one of the ring's keys; else unauthenticated or corrupt.
+/// Returns the payload if it was sealed with a key of the ring; errc::unauthenticated if the key is
+/// unknown or the tag is wrong; errc::corrupt if the input is shorter than the header.
 ///
-/// A replay is not detected here and needs not be: the sealed envelope names sender, receiver and
-/// their lives, and all that it can hold is state with a rank or sequence in it, so that an old
-/// datagram of this life changes nothing, and one of an earlier life is dropped.
+/// Replays need no detection here. The sealed envelope names the incarnations of sender and
+/// receiver, and messages carry only state with a rank or sequence. A replayed datagram of the
+/// current incarnation is therefore idempotent, and a datagram for an earlier incarnation is
+/// dropped.
 base::result<QByteArray> open(const key_ring& ring, const QByteArray& sealed);
 
 }  // namespace caraway::wire
