--- a/tests/wire/generators.hpp
+++ b/tests/wire/generators.hpp
@@ -8,11 +8,11 @@
 #include <string>
 #include <vector>
 
-// Arbitrary values of everything that the wire format carries.
+// RapidCheck generators for all types that the wire format encodes.
 namespace rc
 {
 
-inline Gen<std::string> any_name()
+inline Gen<std::string> arbitrary_name()
 {
     return gen::resize(20, gen::arbitrary<std::string>());
 }
@@ -22,12 +22,12 @@
 {
     static Gen<caraway::base::strong_id<Tag>> arbitrary()
     {
-        return gen::construct<caraway::base::strong_id<Tag>>(any_name());
+        return gen::construct<caraway::base::strong_id<Tag>>(arbitrary_name());
     }
 };
 
 template <class Enum>
-Gen<Enum> any_number()
+Gen<Enum> arbitrary_number()
 {
     using number = std::underlying_type_t<Enum>;
     return gen::map(gen::inRange<number>(0, std::numeric_limits<number>::max()),
@@ -40,7 +40,7 @@
     {                                                                                              \
         static Gen<Type> arbitrary()                                                               \
         {                                                                                          \
-            return any_number<Type>();                                                             \
+            return arbitrary_number<Type>();                                                       \
         }                                                                                          \
     }
 
@@ -84,7 +84,7 @@
 #define SET(Field) gen::set(&value::Field)
 
 CARAWAY_STRUCT(caraway::base::node_ref, SET(id), SET(life));
-CARAWAY_STRUCT(caraway::membership::endpoint, gen::set(&value::host, any_name()), SET(port));
+CARAWAY_STRUCT(caraway::membership::endpoint, gen::set(&value::host, arbitrary_name()), SET(port));
 CARAWAY_STRUCT(caraway::membership::load_digest, SET(waiting), SET(free_slots), SET(connections));
 CARAWAY_STRUCT(caraway::membership::load_sample, SET(node), SET(age_ms), SET(load),
                SET(configuration));
@@ -123,17 +123,20 @@
                                       [](const auto& from) { return !from.id.empty(); })),
                SET(to), SET(messages));
 
-/// An empty host stands for the peer's, so that one isn't empty.
+/// On the wire an empty host means the host of the peer address, so the generated hosts are not
+/// empty.
 template <>
 struct Arbitrary<caraway::membership::member_details>
 {
     static Gen<caraway::membership::member_details> arbitrary()
     {
         using value = caraway::membership::member_details;
-        const auto full = gen::suchThat(gen::arbitrary<caraway::membership::endpoint>(),
-                                        [](const auto& address) { return !address.host.empty(); });
-        return gen::build<value>(gen::set(&value::peer, full), gen::set(&value::caller, full),
-                                 gen::set(&value::admin, full), SET(zone), SET(region));
+        const auto with_host =
+            gen::suchThat(gen::arbitrary<caraway::membership::endpoint>(),
+                          [](const auto& address) { return !address.host.empty(); });
+        return gen::build<value>(gen::set(&value::peer, with_host),
+                                 gen::set(&value::caller, with_host),
+                                 gen::set(&value::admin, with_host), SET(zone), SET(region));
     }
 };
 
@@ -144,10 +147,10 @@
     {
         using namespace caraway::membership;
         using value = member_update;
-        const auto named = gen::suchThat(gen::arbitrary<caraway::base::node_ref>(),
-                                         [](const auto& node) { return !node.id.empty(); });
+        const auto with_id = gen::suchThat(gen::arbitrary<caraway::base::node_ref>(),
+                                           [](const auto& node) { return !node.id.empty(); });
         return gen::build<value>(
-            gen::set(&value::node, named), SET(refutations),
+            gen::set(&value::node, with_id), SET(refutations),
             gen::set(&value::announced,
                      gen::element(announced_state::joining, announced_state::alive,
                                   announced_state::leaving, announced_state::left)),
--- a/tests/wire/test_wire.cpp
+++ b/tests/wire/test_wire.cpp
@@ -16,11 +16,11 @@
 namespace
 {
 
-/// rapidcheck prints the failing case itself.
+/// RapidCheck itself prints the counterexample.
 template <class Property>
-void holds(const std::string& what, Property property)
+void check_property(const std::string& description, Property property)
 {
-    BOOST_TEST(rc::check(what, property));
+    BOOST_TEST(rc::check(description, property));
 }
 
 base::node_ref node(const char* id, std::uint64_t life)
@@ -28,8 +28,8 @@
     return {.id = base::node_id(id), .life = base::incarnation{life}};
 }
 
-/// One of each kind, lists filled.
-envelope sample()
+/// An envelope with messages of several kinds and no empty lists.
+envelope sample_envelope()
 {
     membership::gossip gossip{
         .configuration = base::config_version{7},
@@ -76,45 +76,47 @@
 template <class Message>
 std::size_t encoded_size(Message message)
 {
-    const envelope without{.from = node("a", 1), .to = {}, .messages = {}};
-    auto with = without;
-    with.messages.push_back(membership::message(std::move(message)));
-    return static_cast<std::size_t>(wire::encode(with).size() - wire::encode(without).size());
+    const envelope empty_envelope{.from = node("a", 1), .to = {}, .messages = {}};
+    auto full_envelope = empty_envelope;
+    full_envelope.messages.push_back(membership::message(std::move(message)));
+    return static_cast<std::size_t>(wire::encode(full_envelope).size() -
+                                    wire::encode(empty_envelope).size());
 }
 
 }  // namespace
 
 BOOST_AUTO_TEST_SUITE(damaged_input)
 
-// Symptom: a router ends, hangs or takes half a state for the whole. Sequence: a datagram is cut
-// short on its way and its seal was not checked. Cause: the reader trusts lengths.
-BOOST_AUTO_TEST_CASE(an_envelope_cut_anywhere_is_an_error)
+// Guards against a reader that trusts lengths: a datagram truncated in transit whose seal was not
+// checked would crash or hang the router, or a piece of a state would be taken for the encoded
+// state.
+BOOST_AUTO_TEST_CASE(truncated_envelopes_are_errors)
 {
-    const QByteArray whole = wire::encode(sample());
-    BOOST_REQUIRE(wire::decode(whole).has_value());
-    for (qsizetype size = 0; size < whole.size(); ++size)
+    const QByteArray encoded = wire::encode(sample_envelope());
+    BOOST_REQUIRE(wire::decode(encoded).has_value());
+    for (qsizetype size = 0; size < encoded.size(); ++size)
     {
-        BOOST_TEST(wire::decode(whole.first(size)).has_error());
+        BOOST_TEST(wire::decode(encoded.first(size)).has_error());
     }
 }
 
 BOOST_AUTO_TEST_CASE(any_byte_changed_gives_a_value_or_an_error)
 {
-    const QByteArray whole = wire::encode(sample());
-    for (qsizetype at = 0; at < whole.size(); ++at)
+    const QByteArray encoded = wire::encode(sample_envelope());
+    for (qsizetype offset = 0; offset < encoded.size(); ++offset)
     {
-        for (const int flip : {0x01, 0x1f, 0x20, 0x80, 0xff})
+        for (const int flip_mask : {0x01, 0x1f, 0x20, 0x80, 0xff})
         {
-            QByteArray changed = whole;
-            changed[at] = static_cast<char>(changed[at] ^ flip);
-            const auto read = wire::decode(changed);
-            BOOST_TEST((read.has_value() || !read.error().message.empty()));
+            QByteArray changed = encoded;
+            changed[offset] = static_cast<char>(changed[offset] ^ flip_mask);
+            const auto decoded = wire::decode(changed);
+            BOOST_TEST((decoded.has_value() || !decoded.error().message.empty()));
         }
     }
 }
 
-// Symptom: one datagram takes all memory. Cause: a length is believed before it is checked.
-BOOST_AUTO_TEST_CASE(claimed_lengths_are_not_believed)
+// Guards against memory exhaustion by one datagram: lengths must be checked before an allocation.
+BOOST_AUTO_TEST_CASE(claimed_lengths_are_checked)
 {
     const QByteArray head = QByteArray::fromHex("8601");
     for (const char* claim : {"9affffffff", "9bffffffffffffffff", "7affffffff",
@@ -131,27 +133,27 @@
 
 BOOST_AUTO_TEST_SUITE(seals)
 
-// Symptom: a stranger on the network declares routers dead or grants slots. Cause: a datagram is
-// believed though its sender holds no key.
-BOOST_AUTO_TEST_CASE(a_forged_or_changed_datagram_is_refused)
+// Guards against forged datagrams: an attacker on the network without a key could otherwise
+// declare routers dead or grant slots.
+BOOST_AUTO_TEST_CASE(forged_or_changed_datagrams_are_rejected)
 {
-    const QByteArray sealed = wire::seal(ring(1), wire::encode(sample()));
-    for (qsizetype at = 0; at < sealed.size(); ++at)
+    const QByteArray sealed = wire::seal(ring(1), wire::encode(sample_envelope()));
+    for (qsizetype offset = 0; offset < sealed.size(); ++offset)
     {
         QByteArray forged = sealed;
-        forged[at] = static_cast<char>(forged[at] ^ 1);
+        forged[offset] = static_cast<char>(forged[offset] ^ 1);
         BOOST_TEST(wire::open(ring(1), forged).has_error());
     }
     for (qsizetype size = 0; size < sealed.size(); ++size)
     {
         BOOST_TEST(wire::open(ring(1), sealed.first(size)).has_error());
     }
-    wire::key_ring stranger{.active = wire::key_id{1}, .keys = {{wire::key_id{1}, "guess"}}};
-    BOOST_TEST((wire::open(ring(1), wire::seal(stranger, "x")).error().code ==
+    wire::key_ring foreign_ring{.active = wire::key_id{1}, .keys = {{wire::key_id{1}, "guess"}}};
+    BOOST_TEST((wire::open(ring(1), wire::seal(foreign_ring, "x")).error().code ==
                 base::errc::unauthenticated));
 }
 
-BOOST_AUTO_TEST_CASE(old_and_new_key_hold_during_a_rotation)
+BOOST_AUTO_TEST_CASE(old_and_new_key_are_valid_during_a_rotation)
 {
     BOOST_TEST((wire::open(ring(1), wire::seal(ring(2), "payload")).value() == "payload"));
     BOOST_TEST((wire::open(ring(2), wire::seal(ring(1), "payload")).value() == "payload"));
@@ -167,26 +169,26 @@
 
 BOOST_AUTO_TEST_CASE(every_envelope_survives_the_round_trip)
 {
-    holds("decode(encode(x)) == x",
-          [](const envelope& value)
-          {
-              const QByteArray bytes = wire::encode(value);
-              RC_PRE(static_cast<std::size_t>(bytes.size()) <= wire::max_datagram_bytes);
-              const auto read = wire::decode(bytes);
-              RC_ASSERT(read.has_value());
-              RC_ASSERT(read.value() == value);
-          });
-    BOOST_TEST((wire::decode(wire::encode(sample())).value() == sample()));
+    check_property("decode(encode(x)) == x",
+                   [](const envelope& value)
+                   {
+                       const QByteArray bytes = wire::encode(value);
+                       RC_PRE(static_cast<std::size_t>(bytes.size()) <= wire::max_datagram_bytes);
+                       const auto decoded = wire::decode(bytes);
+                       RC_ASSERT(decoded.has_value());
+                       RC_ASSERT(decoded.value() == value);
+                   });
+    BOOST_TEST((wire::decode(wire::encode(sample_envelope())).value() == sample_envelope()));
 }
 
-// A rolling replacement runs two versions side by side.
+// During a rolling upgrade two versions exchange messages.
 BOOST_AUTO_TEST_CASE(unknown_kinds_and_appended_fields_are_skipped)
 {
     QByteArray bytes;
     QCborStreamWriter out(&bytes);
-    const auto start = [&out](std::initializer_list<std::uint64_t> integers, std::size_t more)
+    const auto start = [&out](std::initializer_list<std::uint64_t> integers, std::size_t extra)
     {
-        out.startArray(integers.size() + more);
+        out.startArray(integers.size() + extra);
         for (const auto integer : integers)
         {
             out.append(static_cast<quint64>(integer));
@@ -199,14 +201,14 @@
         out.append(9U);
     }
     out.startArray(3);
-    start({99}, 1);  // A kind of the future, with a map inside.
+    start({99}, 1);  // An unknown kind that contains a map.
     out.startMap(1);
     out.append(1U);
     start({2, 3}, 0);
     out.endArray();
     out.endMap();
     out.endArray();
-    start({1, 42}, 1);  // A probe with one more field.
+    start({1, 42}, 1);  // A probe with an appended field.
     out.appendTextString("appended", 8);
     out.endArray();
     start({2, 43}, 0);
@@ -215,37 +217,38 @@
     out.append(77U);  // A field appended to the envelope.
     out.endArray();
 
-    const auto read = wire::decode(bytes);
-    BOOST_REQUIRE(read.has_value());
+    const auto decoded = wire::decode(bytes);
+    BOOST_REQUIRE(decoded.has_value());
     const std::vector<wire::message> expected{membership::message(membership::probe{42}),
                                               membership::message(membership::probe_ack{43})};
-    BOOST_TEST((read.value().messages == expected));
-    bytes[1] = 2;  // The format's version.
+    BOOST_TEST((decoded.value().messages == expected));
+    bytes[1] = 2;  // The format version.
     BOOST_TEST(wire::decode(bytes).has_error());
 }
 
 BOOST_AUTO_TEST_CASE(packing_keeps_all_messages_in_order_and_the_size)
 {
-    holds("pack",
-          [](const envelope& value)
-          {
-              constexpr std::size_t target = 600;
-              std::vector<wire::message> unpacked;
-              for (const auto& bytes : wire::pack(value, target))
-              {
-                  RC_PRE(static_cast<std::size_t>(bytes.size()) <= wire::max_datagram_bytes);
-                  const auto part = wire::decode(bytes);
-                  RC_ASSERT(part.has_value());
-                  RC_ASSERT((part.value().messages.size() == 1 ||
-                             static_cast<std::size_t>(bytes.size()) <= target));
-                  unpacked.insert(unpacked.end(), part.value().messages.begin(),
-                                  part.value().messages.end());
-              }
-              RC_ASSERT(unpacked == value.messages);
-          });
+    check_property("pack",
+                   [](const envelope& value)
+                   {
+                       constexpr std::size_t target = 600;
+                       std::vector<wire::message> unpacked;
+                       for (const auto& bytes : wire::pack(value, target))
+                       {
+                           RC_PRE(static_cast<std::size_t>(bytes.size()) <=
+                                  wire::max_datagram_bytes);
+                           const auto piece = wire::decode(bytes);
+                           RC_ASSERT(piece.has_value());
+                           RC_ASSERT((piece.value().messages.size() == 1 ||
+                                      static_cast<std::size_t>(bytes.size()) <= target));
+                           unpacked.insert(unpacked.end(), piece.value().messages.begin(),
+                                           piece.value().messages.end());
+                       }
+                       RC_ASSERT(unpacked == value.messages);
+                   });
 }
 
-BOOST_AUTO_TEST_CASE(one_life_does_not_get_the_mail_of_another)
+BOOST_AUTO_TEST_CASE(datagrams_for_another_incarnation_are_rejected)
 {
     const auto self = node("a", 5);
     BOOST_TEST(wire::is_addressed_to({}, self));
@@ -255,30 +258,32 @@
     BOOST_TEST(!wire::is_addressed_to(node("b", 5), self));
 }
 
-// Membership fills its messages by these bounds; too small a one makes datagrams too large.
+// Membership fills messages up to these bounds; a bound that is too small makes datagrams too
+// large.
 BOOST_AUTO_TEST_CASE(size_bounds_hold)
 {
-    holds("size_bound",
-          [](const membership::gossip& value)
-          {
-              std::size_t bound = membership::gossip_header_bound(value.newest);
-              for (const auto& update : value.updates)
-              {
-                  bound += membership::size_bound(update);
-              }
-              for (const auto& each : value.samples)
-              {
-                  bound += membership::size_bound(each);
-              }
-              bound += value.entries.size() * membership::expiring_set_options{}.bytes_an_entry;
-              RC_ASSERT(encoded_size(value) <= bound);
-          });
-    holds("size_bound of the others",
-          [](const membership::message& value)
-          {
-              RC_PRE(!std::holds_alternative<membership::gossip>(value));
-              RC_ASSERT(encoded_size(value) <= membership::size_bound(value));
-          });
+    check_property("size_bound",
+                   [](const membership::gossip& value)
+                   {
+                       std::size_t bound = membership::gossip_header_bound(value.newest);
+                       for (const auto& update : value.updates)
+                       {
+                           bound += membership::size_bound(update);
+                       }
+                       for (const auto& load_sample : value.samples)
+                       {
+                           bound += membership::size_bound(load_sample);
+                       }
+                       bound +=
+                           value.entries.size() * membership::expiring_set_options{}.bytes_an_entry;
+                       RC_ASSERT(encoded_size(value) <= bound);
+                   });
+    check_property("size_bound of the others",
+                   [](const membership::message& value)
+                   {
+                       RC_PRE(!std::holds_alternative<membership::gossip>(value));
+                       RC_ASSERT(encoded_size(value) <= membership::size_bound(value));
+                   });
 }
 
 BOOST_AUTO_TEST_SUITE_END()
