--- a/tests/wire/test_wire.cpp
+++ b/tests/wire/test_wire.cpp
@@ -88,8 +88,7 @@
 BOOST_AUTO_TEST_SUITE(damaged_input)
 
 // Guards against a reader that trusts lengths: a datagram truncated in transit whose seal was not
-// checked would crash or hang the router, or a piece of a state would be taken for the encoded
-// state.
+// checked would crash or hang the router, or a partial state would be taken for the whole state.
 BOOST_AUTO_TEST_CASE(truncated_envelopes_are_errors)
 {
     const QByteArray encoded = wire::encode(sample_envelope());
