--- a/src/libcaraway/logging/easylogging_library.hpp
+++ b/src/libcaraway/logging/easylogging_library.hpp
@@ -1,9 +1,10 @@
 #pragma once
 
-// The logging library, set up for this project. Included everywhere instead of its own header,
-// since the switches change the layout of its types. By default it writes a file into the working
-// directory, catches the signals of a crash and reads the command line; our VMs have no disks, and
-// crashes and arguments are the program's affair.
+// Includes Easylogging++ with the options of this project. Every use must include this file instead
+// of the library's header, since the macros change the layout of the library's types. By default
+// the library writes a log file to the working directory, installs crash signal handlers and reads
+// the command line. These are disabled: the VMs have no disks, and the program itself handles
+// crashes and arguments.
 #define ELPP_THREAD_SAFE
 #define ELPP_NO_DEFAULT_LOG_FILE
 #define ELPP_NO_LOG_TO_FILE
--- a/src/libcaraway/logging/escape.cpp
+++ b/src/libcaraway/logging/escape.cpp
@@ -6,16 +6,19 @@
 namespace
 {
 
-/// Characters that some reader takes for the end of a line or for an order to a terminal.
-bool is_control(char16_t unit)
+/// Whether some readers treat the character as a line break, or terminals as part of a control
+/// sequence.
+bool is_control(char16_t code_unit)
 {
-    return unit < 0x20 || (unit >= 0x7f && unit < 0xa0) || unit == 0x2028 || unit == 0x2029;
+    return code_unit < 0x20 || (code_unit >= 0x7f && code_unit < 0xa0) || code_unit == 0x2028 ||
+           code_unit == 0x2029;
 }
 
-QString control_escape(char16_t unit)
+QString control_escape(char16_t code_unit)
 {
-    return unit == u'\n' ? QStringLiteral("\\n")
-                         : QStringLiteral("\\u%1").arg(static_cast<uint>(unit), 4, 16, QChar(u'0'));
+    return code_unit == u'\n'
+               ? QStringLiteral("\\n")
+               : QStringLiteral("\\u%1").arg(static_cast<uint>(code_unit), 4, 16, QChar(u'0'));
 }
 
 }  // namespace
--- a/src/libcaraway/logging/escape.hpp
+++ b/src/libcaraway/logging/escape.hpp
@@ -7,11 +7,11 @@
 namespace caraway::logging
 {
 
-/// Text from elsewhere, in UTF-8 on one line, without characters that a terminal would take for an
-/// order; for people.
+/// Converts untrusted text to UTF-8 for display: line breaks and terminal control characters are
+/// escaped, so that the result is a single line.
 std::string printable(const QString& text);
 
-/// The same as the inside of a JSON string.
+/// Like printable(), but also escapes quotes and backslashes for use within a JSON string.
 std::string escaped(const QString& text);
 
 }  // namespace caraway::logging
--- a/src/libcaraway/logging/field.hpp
+++ b/src/libcaraway/logging/field.hpp
@@ -16,8 +16,9 @@
 namespace caraway::logging
 {
 
-/// One key with a typed value beside a log line's sentence. Keys are snake_case literals of ours;
-/// values may come from anywhere and are escaped and cut to a bounded length when written.
+/// A key with a typed value that accompanies the message of a log line. Keys are snake_case
+/// literals from the source code; values may be untrusted, and are escaped and truncated when
+/// written.
 class field
 {
 public:
@@ -48,7 +49,8 @@
     {
     }
 
-    /// Numbers that are strong types, such as an incarnation or a configuration version.
+    /// Enumerations used as strong integer types, such as an incarnation or a configuration
+    /// version.
     template <class Enum>
     requires std::is_enum_v<Enum> field(std::string_view key, Enum value)
         : field(key, static_cast<std::underlying_type_t<Enum>>(value))
@@ -69,7 +71,7 @@
     value_type value_;
 };
 
-/// The field under which all lines about one request are found.
+/// The `request_id` field, which all log lines about one request share.
 inline field request_field(const base::request_id& id)
 {
     return {"request_id", id};
--- a/src/libcaraway/logging/line_format.cpp
+++ b/src/libcaraway/logging/line_format.cpp
@@ -17,20 +17,22 @@
 {
 
 constexpr qsizetype max_text_units = 512;
-/// Kept free for the note that fields were left out, the closing brace and the end of line.
+/// Reserved for the `truncated` field, the closing brace and the line terminator.
 constexpr std::size_t reserved_bytes = 32;
 
 QString bounded(std::string_view text)
 {
-    // One UTF-16 unit takes at most three bytes of valid UTF-8, so no more than that is decoded.
-    const auto head = text.substr(0, max_text_units * 3 + 1);
-    QString whole = QString::fromUtf8(head.data(), static_cast<qsizetype>(head.size()));
-    if (whole.size() > max_text_units)
+    // A UTF-16 code unit corresponds to at most three bytes of valid UTF-8, so more bytes need not
+    // be decoded.
+    const auto leading_bytes = text.substr(0, max_text_units * 3 + 1);
+    QString decoded =
+        QString::fromUtf8(leading_bytes.data(), static_cast<qsizetype>(leading_bytes.size()));
+    if (decoded.size() > max_text_units)
     {
-        whole.truncate(max_text_units);
-        whole += QChar(0x2026);
+        decoded.truncate(max_text_units);
+        decoded += QChar(0x2026);
     }
-    return whole;
+    return decoded;
 }
 
 std::string quoted(std::string_view text)
@@ -64,10 +66,10 @@
     {
         return *flag ? "true" : "false";
     }
-    if (const auto* real = std::get_if<double>(&value))
+    if (const auto* floating = std::get_if<double>(&value))
     {
-        // JSON has no infinity and no NaN.
-        return std::isfinite(*real) ? number(*real) : "null";
+        // JSON cannot represent infinity or NaN.
+        return std::isfinite(*floating) ? number(*floating) : "null";
     }
     if (const auto* integer = std::get_if<std::int64_t>(&value))
     {
@@ -76,22 +78,22 @@
     return number(std::get<std::uint64_t>(value));
 }
 
-/// Appends what still fits; false when something was left out.
+/// Appends the fields that fit into the line; returns false if a field was omitted.
 template <class Render>
 bool append_fields(std::string& out, std::span<const field> fields, Render render)
 {
-    bool whole = true;
-    for (const field& each : fields)
+    bool complete = true;
+    for (const field& item : fields)
     {
-        const std::string piece = render(each);
-        if (out.size() + piece.size() + reserved_bytes > max_line_bytes)
+        const std::string rendered = render(item);
+        if (out.size() + rendered.size() + reserved_bytes > max_line_bytes)
         {
-            whole = false;
+            complete = false;
             continue;
         }
-        out += piece;
+        out += rendered;
     }
-    return whole;
+    return complete;
 }
 
 }  // namespace
@@ -105,26 +107,26 @@
         .toStdString();
 }
 
-std::string text_line(const line& what)
+std::string text_line(const line& content)
 {
-    std::string out = rfc3339(what.time) + ' ' + name(what.importance) + ' ';
-    out += escaped(bounded(what.prefix)) + ' ' + escaped(bounded(what.sentence));
-    const bool whole = append_fields(
-        out, what.fields,
-        [](const field& each) { return ' ' + each.key() + '=' + value_text(each.value(), false); });
-    return whole ? out : out + " truncated=true";
+    std::string out = rfc3339(content.time) + ' ' + name(content.severity) + ' ';
+    out += escaped(bounded(content.prefix)) + ' ' + escaped(bounded(content.message));
+    const bool complete = append_fields(
+        out, content.fields,
+        [](const field& item) { return ' ' + item.key() + '=' + value_text(item.value(), false); });
+    return complete ? out : out + " truncated=true";
 }
 
-std::string json_line(const line& what)
+std::string json_line(const line& content)
 {
-    std::string out = R"({"time":")" + rfc3339(what.time) + R"(","level":")" +
-                      name(what.importance) + R"(","part":)" + quoted(what.prefix) +
-                      R"(,"message":)" + quoted(what.sentence);
-    const bool whole =
-        append_fields(out, what.fields,
-                      [](const field& each)
-                      { return ',' + quoted(each.key()) + ':' + value_text(each.value(), true); });
-    return out + (whole ? "}" : R"(,"truncated":true})");
+    std::string out = R"({"time":")" + rfc3339(content.time) + R"(","level":")" +
+                      name(content.severity) + R"(","part":)" + quoted(content.prefix) +
+                      R"(,"message":)" + quoted(content.message);
+    const bool complete =
+        append_fields(out, content.fields,
+                      [](const field& item)
+                      { return ',' + quoted(item.key()) + ':' + value_text(item.value(), true); });
+    return out + (complete ? "}" : R"(,"truncated":true})");
 }
 
 }  // namespace caraway::logging
--- a/src/libcaraway/logging/line_format.hpp
+++ b/src/libcaraway/logging/line_format.hpp
@@ -11,23 +11,23 @@
 namespace caraway::logging
 {
 
-/// What one line is made of.
+/// Content of one log line.
 struct line
 {
     std::chrono::system_clock::time_point time;
-    level importance = level::info;
+    level severity = level::info;
     std::string_view prefix;
-    std::string_view sentence;
+    std::string_view message;
     std::span<const field> fields;
 };
 
-/// The line without its end of line: one line whatever the text holds, valid UTF-8, and shorter
-/// than `max_line_bytes`. Long texts are cut and end in an ellipsis; fields that don't fit are
-/// left out, and `truncated` then says so.
-std::string text_line(const line& what);
-std::string json_line(const line& what);
+/// Renders the content without a line terminator. The result is a single line of valid UTF-8
+/// shorter than `max_line_bytes`, even for untrusted text. Long texts are truncated and end in an
+/// ellipsis; fields that don't fit are omitted, and the field `truncated` is then added.
+std::string text_line(const line& content);
+std::string json_line(const line& content);
 
-/// The instant as RFC 3339 in UTC with milliseconds.
+/// Formats the time as RFC 3339 in UTC with milliseconds.
 std::string rfc3339(std::chrono::system_clock::time_point time);
 
 }  // namespace caraway::logging
--- a/src/libcaraway/logging/logger.cpp
+++ b/src/libcaraway/logging/logger.cpp
@@ -20,7 +20,7 @@
 
 constexpr const char* sink_name = "caraway";
 
-/// Where lines go; shared by all loggers of the process.
+/// Destination and format of log lines, shared by all loggers of the process.
 struct output
 {
     std::mutex mutex;
@@ -32,22 +32,23 @@
 
 output& shared_output()
 {
-    // Never destroyed, since other static objects may log at the end of the process.
-    static output* const it = new output;
-    return *it;
+    // Never destroyed, since destructors of other static objects may log at process exit.
+    static output* const instance = new output;
+    return *instance;
 }
 
-/// Takes the library's finished messages to the stream. The library's own sink would put its own
-/// layout round them.
+/// Writes the rendered lines to the stream. The library's default sink would add its own layout to
+/// the lines.
 class stream_sink : public el::LogDispatchCallback
 {
 protected:
     void handle(const el::LogDispatchData* data) override
     {
-        output& to = shared_output();
-        const std::scoped_lock lock(to.mutex);
-        // In one piece, so that a line isn't torn between processes that share the stream.
-        *to.out << data->logMessage()->message() + '\n' << std::flush;
+        output& shared = shared_output();
+        const std::scoped_lock lock(shared.mutex);
+        // A single write, so that processes sharing the stream don't interleave parts of their
+        // lines.
+        *shared.out << data->logMessage()->message() + '\n' << std::flush;
     }
 };
 
@@ -64,9 +65,9 @@
         });
 }
 
-el::Level library_level(level importance)
+el::Level library_level(level severity)
 {
-    switch (importance)
+    switch (severity)
     {
     case level::debug:
         return el::Level::Debug;
@@ -104,18 +105,18 @@
     log.write(level_of(type), text.toStdString(), std::span(&category, 1));
 }
 
-std::string render(level importance, std::string_view prefix, std::string_view sentence,
+std::string render(level severity, std::string_view prefix, std::string_view message,
                    std::span<const field> fields)
 {
-    output& to = shared_output();
-    const std::scoped_lock lock(to.mutex);
-    const line what{.time = to.clock == nullptr ? std::chrono::system_clock::now()
-                                                : to.clock->wall_time(),
-                    .importance = importance,
-                    .prefix = prefix,
-                    .sentence = sentence,
-                    .fields = fields};
-    return to.style == format::json ? json_line(what) : text_line(what);
+    output& shared = shared_output();
+    const std::scoped_lock lock(shared.mutex);
+    const line content{.time = shared.clock == nullptr ? std::chrono::system_clock::now()
+                                                       : shared.clock->wall_time(),
+                       .severity = severity,
+                       .prefix = prefix,
+                       .message = message,
+                       .fields = fields};
+    return shared.style == format::json ? json_line(content) : text_line(content);
 }
 
 }  // namespace
@@ -136,70 +137,70 @@
     return "error";
 }
 
-std::optional<level> level_named(std::string_view text)
+std::optional<level> parse_level(std::string_view text)
 {
-    for (const level each : {level::debug, level::info, level::warning, level::error})
+    for (const level candidate : {level::debug, level::info, level::warning, level::error})
     {
-        if (text == name(each))
+        if (text == name(candidate))
         {
-            return each;
+            return candidate;
         }
     }
     return std::nullopt;
 }
 
-void setup(const options& how)
+void setup(const options& settings)
 {
     install_sink();
-    output& to = shared_output();
+    output& shared = shared_output();
     {
-        const std::scoped_lock lock(to.mutex);
-        to.threshold = how.threshold;
-        to.style = how.style;
-        to.out = how.out == nullptr ? &std::cerr : how.out;
-        to.clock = how.clock;
+        const std::scoped_lock lock(shared.mutex);
+        shared.threshold = settings.threshold;
+        shared.style = settings.style;
+        shared.out = settings.out == nullptr ? &std::cerr : settings.out;
+        shared.clock = settings.clock;
     }
     qInstallMessageHandler(write_qt_message);
 }
 
 logger::logger(std::string prefix) : prefix_(std::move(prefix)) {}
 
-void logger::debug(std::string_view sentence, std::initializer_list<field> fields) const
+void logger::debug(std::string_view message, std::initializer_list<field> fields) const
 {
-    write(level::debug, sentence, fields);
+    write(level::debug, message, fields);
 }
 
-void logger::info(std::string_view sentence, std::initializer_list<field> fields) const
+void logger::info(std::string_view message, std::initializer_list<field> fields) const
 {
-    write(level::info, sentence, fields);
+    write(level::info, message, fields);
 }
 
-void logger::warning(std::string_view sentence, std::initializer_list<field> fields) const
+void logger::warning(std::string_view message, std::initializer_list<field> fields) const
 {
-    write(level::warning, sentence, fields);
+    write(level::warning, message, fields);
 }
 
-void logger::error(std::string_view sentence, std::initializer_list<field> fields) const
+void logger::error(std::string_view message, std::initializer_list<field> fields) const
 {
-    write(level::error, sentence, fields);
+    write(level::error, message, fields);
 }
 
-void logger::write(level importance, std::string_view sentence, std::span<const field> fields) const
+void logger::write(level severity, std::string_view message, std::span<const field> fields) const
 {
-    if (!enabled(importance))
+    if (!enabled(severity))
     {
         return;
     }
     install_sink();
-    // Registers the prefix as a logger of the library the first time that it is seen.
+    // Registers the prefix as a logger of the library on first use.
     el::Loggers::getLogger(prefix_);
-    el::base::Writer(library_level(importance), "", 0, "").construct(1, prefix_.c_str())
-        << render(importance, prefix_, sentence, fields);
+    el::base::Writer(library_level(severity), "", 0, "").construct(1, prefix_.c_str())
+        << render(severity, prefix_, message, fields);
 }
 
-bool logger::enabled(level importance)
+bool logger::enabled(level severity)
 {
-    return importance >= shared_output().threshold.load(std::memory_order_relaxed);
+    return severity >= shared_output().threshold.load(std::memory_order_relaxed);
 }
 
 }  // namespace caraway::logging
--- a/src/libcaraway/logging/logger.hpp
+++ b/src/libcaraway/logging/logger.hpp
@@ -13,7 +13,7 @@
 namespace caraway::logging
 {
 
-/// How much a line matters, least first.
+/// Severity of a log line, in ascending order.
 enum class level
 {
     debug,
@@ -22,22 +22,23 @@
     error,
 };
 
-/// The stable name, as in "warning".
+/// Returns the name of the level as written to the log, such as "warning".
 const char* name(level value);
-/// The level of that name, or nothing.
-std::optional<level> level_named(std::string_view text);
+/// Returns the level with the given name, or nullopt if the name is unknown.
+std::optional<level> parse_level(std::string_view text);
 
 enum class format
 {
-    text,  ///< `time level prefix sentence key=value ...`, values quoted where needed.
-    json,  ///< One JSON object a line.
+    text,  ///< `time level prefix message key=value ...`, values quoted if needed.
+    json,  ///< One JSON object per line.
 };
 
-/// Longest line written, its end of line included; longer ones are cut and say so.
+/// Upper bound on the length of a line, including its terminator; longer lines are truncated and
+/// marked with the field `truncated`.
 inline constexpr std::size_t max_line_bytes = 4096;
 
-/// How the process logs. `out` and `clock` must outlive all logging; without them lines go to
-/// standard error and carry the machine's time.
+/// Log settings of the process. `out` and `clock` must outlive all loggers; if they are null, lines
+/// are written to standard error with the time of the system clock.
 struct options
 {
     level threshold = level::info;
@@ -46,26 +47,26 @@
     const base::clock* clock = nullptr;
 };
 
-/// Sets where and how all loggers of this process write; may be called again. Before the first
-/// call the defaults of `options` hold. Messages of Qt's own come under the prefix "qt".
-void setup(const options& how);
+/// Applies the settings to all loggers of this process; may be called repeatedly. Before the first
+/// call the defaults of `options` apply. Messages from Qt are logged with the prefix "qt".
+void setup(const options& settings);
 
-/// Writes lines under the fixed prefix of one part of the program. Cheap to copy; any thread may
-/// use it. A line is one short sentence and typed fields; it is written whole or not at all.
+/// Writes log lines with the fixed prefix of one component. Cheap to copy and thread-safe. A line
+/// consists of a short message and typed fields; a line is written completely or not at all.
 class logger
 {
 public:
     explicit logger(std::string prefix);
 
-    void debug(std::string_view sentence, std::initializer_list<field> fields = {}) const;
-    void info(std::string_view sentence, std::initializer_list<field> fields = {}) const;
-    void warning(std::string_view sentence, std::initializer_list<field> fields = {}) const;
-    void error(std::string_view sentence, std::initializer_list<field> fields = {}) const;
+    void debug(std::string_view message, std::initializer_list<field> fields = {}) const;
+    void info(std::string_view message, std::initializer_list<field> fields = {}) const;
+    void warning(std::string_view message, std::initializer_list<field> fields = {}) const;
+    void error(std::string_view message, std::initializer_list<field> fields = {}) const;
 
-    void write(level importance, std::string_view sentence, std::span<const field> fields) const;
+    void write(level severity, std::string_view message, std::span<const field> fields) const;
 
-    /// Whether lines of this importance are written at all; ask before building costly fields.
-    static bool enabled(level importance);
+    /// Whether lines of this severity are written; check before building expensive fields.
+    static bool enabled(level severity);
 
 private:
     std::string prefix_;
--- a/src/libcaraway/logging/logging_engine.cpp
+++ b/src/libcaraway/logging/logging_engine.cpp
@@ -1,4 +1,4 @@
-// The logging library ships as one source file, which is compiled here, once.
+// Easylogging++ is distributed as a single source file, which must be compiled exactly once.
 #include "libcaraway/logging/easylogging_library.hpp"
 
 #include <easylogging++.cc>
--- a/src/libcaraway/logging/secret.hpp
+++ b/src/libcaraway/logging/secret.hpp
@@ -7,8 +7,8 @@
 namespace caraway::logging
 {
 
-/// Text that must not be shown: a key or a token. Whatever prints one prints "***"; only
-/// `reveal()` gives the text out, so each place that uses it is found by that name.
+/// Confidential text, such as a key or a token. Printing or logging a secret writes "***". The text
+/// is only accessible through `reveal()`, so that every use can be found by searching for it.
 class secret
 {
 public:
