--- a/src/libcaraway/metrics/counter.hpp
+++ b/src/libcaraway/metrics/counter.hpp
@@ -6,7 +6,8 @@
 namespace caraway::metrics
 {
 
-/// Counts upwards from the start of the process. Any thread; one relaxed atomic addition.
+/// A monotonic counter that starts at 0 with the process. Thread-safe; add() is one relaxed atomic
+/// addition.
 class counter
 {
 public:
--- a/src/libcaraway/metrics/gauge.hpp
+++ b/src/libcaraway/metrics/gauge.hpp
@@ -5,7 +5,7 @@
 namespace caraway::metrics
 {
 
-/// A figure that goes up and down, such as requests waiting. Any thread.
+/// A value that can increase and decrease, such as the number of waiting requests. Thread-safe.
 class gauge
 {
 public:
--- a/src/libcaraway/metrics/histogram.cpp
+++ b/src/libcaraway/metrics/histogram.cpp
@@ -41,8 +41,8 @@
     {
     }
 
-    /// Counts by bin, the one below the axis first and the one above it last, read one by one
-    /// while others may add.
+    /// Returns the counts of all bins, from the underflow bin to the overflow bin. The counts are
+    /// read one by one while other threads may add, so the snapshot is not atomic.
     std::vector<std::uint64_t> snapshot() const
     {
         std::vector<std::uint64_t> out;
@@ -69,14 +69,14 @@
     {
         return;
     }
-    // The logarithm of a negative value is no number and would land above the axis.
+    // The logarithm of a negative value is NaN, which would be counted in the overflow bin.
     bins_->counts(std::max(value, 0.0));
     bins_->sum.fetch_add(value, std::memory_order_relaxed);
 }
 
-void histogram::observe(std::chrono::nanoseconds span)
+void histogram::observe(std::chrono::nanoseconds elapsed)
 {
-    observe(std::chrono::duration<double>(span).count());
+    observe(std::chrono::duration<double>(elapsed).count());
 }
 
 std::uint64_t histogram::count() const
@@ -99,20 +99,20 @@
     {
         return 0;
     }
-    const double wanted = std::clamp(fraction, 0.0, 1.0) * total;
+    const double target_count = std::clamp(fraction, 0.0, 1.0) * total;
     const auto& axis = bins_->counts.axis();
-    double below = 0;
+    double count_below = 0;
     for (std::size_t i = 0; i + 1 < counts.size(); ++i)
     {
-        const auto here = static_cast<double>(counts[i]);
-        if (here > 0 && below + here >= wanted)
+        const auto bin_count = static_cast<double>(counts[i]);
+        if (bin_count > 0 && count_below + bin_count >= target_count)
         {
-            // counts[i] lies between the positions i - 1 and i of the axis; positions between
-            // whole numbers are points within a bin, on the log scale.
-            const double into_bin = (wanted - below) / here;
-            return i == 0 ? axis.value(0) : axis.value(static_cast<double>(i) - 1 + into_bin);
+            // counts[i] covers the axis positions from i - 1 to i; a fractional position is a point
+            // within a bin on the log scale.
+            const double bin_fraction = (target_count - count_below) / bin_count;
+            return i == 0 ? axis.value(0) : axis.value(static_cast<double>(i) - 1 + bin_fraction);
         }
-        below += here;
+        count_below += bin_count;
     }
     return axis.value(axis.size());
 }
--- a/src/libcaraway/metrics/histogram.hpp
+++ b/src/libcaraway/metrics/histogram.hpp
@@ -8,22 +8,22 @@
 namespace caraway::metrics
 {
 
-/// The log-spaced axis of a histogram: `decades` powers of ten upwards from `lowest`.
+/// The logarithmic axis of a histogram; it covers `decades` powers of ten starting at `lowest`.
 struct histogram_axis
 {
     double lowest = 1e-4;
     unsigned decades = 7;
-    /// Bins in a decade; a quantile is off by at most one bin, 12 % with 20.
+    /// A quantile is off by at most the width of one bin, which is 12 % with 20 bins per decade.
     unsigned bins_per_decade = 20;
-    /// Every so many bins one bucket is exported to Prometheus.
+    /// Number of bins that are merged into one bucket exported to Prometheus.
     unsigned bins_per_bucket = 5;
 };
 
-/// Latencies from 0.1 ms to 1,000 s, in seconds.
+/// Axis for latencies in seconds, from 0.1 ms to 1,000 s.
 inline constexpr histogram_axis latency_axis{};
 
-/// How often which value was seen, over a log-spaced axis. Any thread may observe; an observation
-/// is a logarithm and two relaxed atomic additions.
+/// Distribution of observed values over a logarithmic axis. Thread-safe; an observation costs one
+/// logarithm and two relaxed atomic additions.
 class histogram
 {
 public:
@@ -31,23 +31,25 @@
     ~histogram();
 
     void observe(double value);
-    /// Observes a span of time, in seconds.
-    void observe(std::chrono::nanoseconds span);
+    /// Observes a duration, converted to seconds.
+    void observe(std::chrono::nanoseconds elapsed);
 
     std::uint64_t count() const;
     double sum() const;
 
-    /// The value that `fraction` (0 to 1) of the observations don't exceed, interpolated within
-    /// its bin; 0 before the first observation, the axis' ends for what lies beyond them.
+    /// Returns the value that a `fraction` (0 to 1) of the observations don't exceed, interpolated
+    /// within its bin. Returns 0 if there are no observations, and the nearest end of the axis for
+    /// quantiles outside of the axis.
     double quantile(double fraction) const;
 
-    /// One bucket for the exposition: observations below `upper`.
+    /// A Prometheus bucket: the cumulative number of observations below `upper`.
     struct bucket
     {
         double upper = 0;
         std::uint64_t cumulative = 0;
     };
-    /// Buckets upwards; the last has an infinite bound and counts all.
+    /// Returns the buckets in ascending order; the last has an infinite bound and counts all
+    /// observations.
     std::vector<bucket> buckets() const;
 
 private:
--- a/src/libcaraway/metrics/prometheus_format.cpp
+++ b/src/libcaraway/metrics/prometheus_format.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-/// Label values escape quotes; help texts must not.
+/// Escapes a label value or a help text; quotes are escaped in label values only.
 std::string escaped(std::string_view text, bool with_quotes)
 {
     std::string out;
@@ -46,7 +46,8 @@
     return error == std::errc{} ? std::string(buffer.data(), end) : std::string("NaN");
 }
 
-/// Bounds are computed through logarithms; six digits hide that 0.1 came out as 0.0999999999.
+/// Formats a bucket bound with six digits: bounds are computed with logarithms, and full precision
+/// would show 0.1 as 0.0999999999.
 std::string bound(double value)
 {
     if (std::isinf(value))
@@ -61,26 +62,26 @@
 
 }  // namespace
 
-std::string series_name(const std::string& metric, const labels& which)
+std::string series_name(const std::string& metric, const labels& series_labels)
 {
-    if (which.empty())
+    if (series_labels.empty())
     {
         return metric;
     }
     std::string out = metric + '{';
     const char* separator = "";
-    for (const label& each : which)
+    for (const label& item : series_labels)
     {
-        out += separator + each.name + "=\"" + escaped(each.value, true) + '"';
+        out += separator + item.name + "=\"" + escaped(item.value, true) + '"';
         separator = ",";
     }
     return out + '}';
 }
 
-void append_header(std::string& out, const description& what, const char* type)
+void append_header(std::string& out, const description& metric, const char* type)
 {
-    out += "# HELP " + what.name + ' ' + escaped(what.help, false) + '\n';
-    out += "# TYPE " + what.name + ' ' + type + '\n';
+    out += "# HELP " + metric.name + ' ' + escaped(metric.help, false) + '\n';
+    out += "# TYPE " + metric.name + ' ' + type + '\n';
 }
 
 void append_sample(std::string& out, const std::string& series, std::uint64_t value)
@@ -93,18 +94,18 @@
     out += series + ' ' + number(value) + '\n';
 }
 
-void append_histogram(std::string& out, const std::string& metric, const labels& which,
+void append_histogram(std::string& out, const std::string& metric, const labels& series_labels,
                       const histogram& values)
 {
     const auto buckets = values.buckets();
-    for (const auto& each : buckets)
+    for (const auto& item : buckets)
     {
-        labels with_bound = which;
-        with_bound.push_back({.name = "le", .value = bound(each.upper)});
-        append_sample(out, series_name(metric + "_bucket", with_bound), each.cumulative);
+        labels with_bound = series_labels;
+        with_bound.push_back({.name = "le", .value = bound(item.upper)});
+        append_sample(out, series_name(metric + "_bucket", with_bound), item.cumulative);
     }
-    append_sample(out, series_name(metric + "_sum", which), values.sum());
-    append_sample(out, series_name(metric + "_count", which), buckets.back().cumulative);
+    append_sample(out, series_name(metric + "_sum", series_labels), values.sum());
+    append_sample(out, series_name(metric + "_count", series_labels), buckets.back().cumulative);
 }
 
 }  // namespace caraway::metrics
--- a/src/libcaraway/metrics/prometheus_format.hpp
+++ b/src/libcaraway/metrics/prometheus_format.hpp
@@ -8,17 +8,18 @@
 namespace caraway::metrics
 {
 
-/// A series as Prometheus writes it: name{label="value",...}, values escaped.
-std::string series_name(const std::string& metric, const labels& which);
+/// Returns the name of a series in the Prometheus text format, name{label="value",...}, with
+/// escaped label values.
+std::string series_name(const std::string& metric, const labels& series_labels);
 
-/// The HELP and TYPE lines of a metric.
-void append_header(std::string& out, const description& what, const char* type);
+/// Appends the HELP and TYPE lines of a metric.
+void append_header(std::string& out, const description& metric, const char* type);
 
 void append_sample(std::string& out, const std::string& series, std::uint64_t value);
 void append_sample(std::string& out, const std::string& series, double value);
 
-/// All buckets, the sum and the count of one histogram.
-void append_histogram(std::string& out, const std::string& metric, const labels& which,
+/// Appends all buckets, the sum and the count of one histogram.
+void append_histogram(std::string& out, const std::string& metric, const labels& series_labels,
                       const histogram& values);
 
 }  // namespace caraway::metrics
--- a/src/libcaraway/metrics/registry.cpp
+++ b/src/libcaraway/metrics/registry.cpp
@@ -24,25 +24,26 @@
 template <class Metric>
 using family_map = std::map<std::string, family<Metric>>;
 
-labels surplus_labels(labels which)
+labels overflow_labels(labels series_labels)
 {
-    for (label& each : which)
+    for (label& item : series_labels)
     {
-        each.value = "other";
+        item.value = "other";
     }
-    return which;
+    return series_labels;
 }
 
 template <class Metric, class... Arguments>
-Metric& find_or_add(std::shared_mutex& mutex, family_map<Metric>& all, const description& what,
-                    const labels& which, const Arguments&... arguments)
+Metric& find_or_add(std::shared_mutex& mutex, family_map<Metric>& metric_families,
+                    const description& metric, const labels& series_labels,
+                    const Arguments&... arguments)
 {
     {
         const std::shared_lock lock(mutex);
-        const auto found = all.find(what.name);
-        if (found != all.end())
+        const auto found = metric_families.find(metric.name);
+        if (found != metric_families.end())
         {
-            const auto series = found->second.series.find(which);
+            const auto series = found->second.series.find(series_labels);
             if (series != found->second.series.end())
             {
                 return *series->second;
@@ -50,10 +51,11 @@
         }
     }
     const std::unique_lock lock(mutex);
-    auto& mine = all[what.name];
-    mine.help = what.help;
-    const bool full = mine.series.size() >= max_series && !mine.series.contains(which);
-    auto& slot = mine.series[full ? surplus_labels(which) : which];
+    auto& metric_family = metric_families[metric.name];
+    metric_family.help = metric.help;
+    const bool full =
+        metric_family.series.size() >= max_series && !metric_family.series.contains(series_labels);
+    auto& slot = metric_family.series[full ? overflow_labels(series_labels) : series_labels];
     if (!slot)
     {
         slot = std::make_unique<Metric>(arguments...);
@@ -62,13 +64,14 @@
 }
 
 template <class Metric, class Read>
-void list_into(std::vector<series_value>& out, const family_map<Metric>& all, Read read)
+void append_values(std::vector<series_value>& out, const family_map<Metric>& metric_families,
+                   Read read)
 {
-    for (const auto& [metric_name, one] : all)
+    for (const auto& [metric_name, metric_family] : metric_families)
     {
-        for (const auto& [which, value] : one.series)
+        for (const auto& [series_labels, value] : metric_family.series)
         {
-            out.push_back({.name = series_name(metric_name, which), .value = read(*value)});
+            out.push_back({.name = series_name(metric_name, series_labels), .value = read(*value)});
         }
     }
 }
@@ -87,48 +90,48 @@
 
 registry::~registry() = default;
 
-metrics::counter& registry::counter(const description& what, const labels& which)
+metrics::counter& registry::counter(const description& metric, const labels& series_labels)
 {
-    return find_or_add(families_->mutex, families_->counters, what, which);
+    return find_or_add(families_->mutex, families_->counters, metric, series_labels);
 }
 
-metrics::gauge& registry::gauge(const description& what, const labels& which)
+metrics::gauge& registry::gauge(const description& metric, const labels& series_labels)
 {
-    return find_or_add(families_->mutex, families_->gauges, what, which);
+    return find_or_add(families_->mutex, families_->gauges, metric, series_labels);
 }
 
-metrics::histogram& registry::histogram(const description& what, const labels& which,
+metrics::histogram& registry::histogram(const description& metric, const labels& series_labels,
                                         const histogram_axis& axis)
 {
-    return find_or_add(families_->mutex, families_->histograms, what, which, axis);
+    return find_or_add(families_->mutex, families_->histograms, metric, series_labels, axis);
 }
 
 std::string registry::prometheus_text() const
 {
     const std::shared_lock lock(families_->mutex);
     std::string out;
-    for (const auto& [metric_name, one] : families_->counters)
+    for (const auto& [metric_name, metric_family] : families_->counters)
     {
-        append_header(out, {.name = metric_name, .help = one.help}, "counter");
-        for (const auto& [which, value] : one.series)
+        append_header(out, {.name = metric_name, .help = metric_family.help}, "counter");
+        for (const auto& [series_labels, value] : metric_family.series)
         {
-            append_sample(out, series_name(metric_name, which), value->value());
+            append_sample(out, series_name(metric_name, series_labels), value->value());
         }
     }
-    for (const auto& [metric_name, one] : families_->gauges)
+    for (const auto& [metric_name, metric_family] : families_->gauges)
     {
-        append_header(out, {.name = metric_name, .help = one.help}, "gauge");
-        for (const auto& [which, value] : one.series)
+        append_header(out, {.name = metric_name, .help = metric_family.help}, "gauge");
+        for (const auto& [series_labels, value] : metric_family.series)
         {
-            append_sample(out, series_name(metric_name, which), value->value());
+            append_sample(out, series_name(metric_name, series_labels), value->value());
         }
     }
-    for (const auto& [metric_name, one] : families_->histograms)
+    for (const auto& [metric_name, metric_family] : families_->histograms)
     {
-        append_header(out, {.name = metric_name, .help = one.help}, "histogram");
-        for (const auto& [which, value] : one.series)
+        append_header(out, {.name = metric_name, .help = metric_family.help}, "histogram");
+        for (const auto& [series_labels, value] : metric_family.series)
         {
-            append_histogram(out, metric_name, which, *value);
+            append_histogram(out, metric_name, series_labels, *value);
         }
     }
     return out;
@@ -138,9 +141,9 @@
 {
     const std::shared_lock lock(families_->mutex);
     std::vector<series_value> out;
-    list_into(out, families_->counters, [](const metrics::counter& c) { return c.value(); });
-    list_into(out, families_->gauges, [](const metrics::gauge& g) { return g.value(); });
-    list_into(out, families_->histograms, [](const metrics::histogram& h) { return &h; });
+    append_values(out, families_->counters, [](const metrics::counter& c) { return c.value(); });
+    append_values(out, families_->gauges, [](const metrics::gauge& g) { return g.value(); });
+    append_values(out, families_->histograms, [](const metrics::histogram& h) { return &h; });
     return out;
 }
 
--- a/src/libcaraway/metrics/registry.hpp
+++ b/src/libcaraway/metrics/registry.hpp
@@ -14,8 +14,8 @@
 namespace caraway::metrics
 {
 
-/// One label of a series. Values come from a small fixed set (a workspace, an outcome), never from
-/// what a caller sent.
+/// One label of a series. Label values must come from a small fixed set, such as workspaces or
+/// outcomes, and never from the content of requests.
 struct label
 {
     std::string name;
@@ -29,26 +29,27 @@
 };
 using labels = std::vector<label>;
 
-/// What a metric is called and what it means; `help` is one sentence with its unit.
+/// Name and help text of a metric; `help` is one sentence that states the unit.
 struct description
 {
     std::string name;
     std::string help;
 };
 
-/// One series, by the name that Prometheus gives it, and what it holds.
+/// The Prometheus name of a series and its current value.
 struct series_value
 {
     std::string name;
     std::variant<std::uint64_t, double, const histogram*> value;
 };
 
-/// Series that one metric may have. More are refused: the surplus is counted together in one
-/// series whose label values are all "other", so that a fault in a label can't fill the memory.
+/// Upper bound on the series of one metric, so that a faulty label can't exhaust the memory. Beyond
+/// the bound, all further label values are counted in one series whose label values are all
+/// "other".
 inline constexpr std::size_t max_series = 1024;
 
-/// All metrics of a process. Asking for a series that exists gives the same one; references stay
-/// valid as long as the registry, so callers keep them. Any thread.
+/// All metrics of a process. Thread-safe. Requesting an existing series returns the same object;
+/// references are valid for the lifetime of the registry, so callers should keep them.
 class registry
 {
 public:
@@ -57,15 +58,16 @@
     registry(const registry&) = delete;
     registry& operator=(const registry&) = delete;
 
-    metrics::counter& counter(const description& what, const labels& which = {});
-    metrics::gauge& gauge(const description& what, const labels& which = {});
-    metrics::histogram& histogram(const description& what, const labels& which = {},
+    metrics::counter& counter(const description& metric, const labels& series_labels = {});
+    metrics::gauge& gauge(const description& metric, const labels& series_labels = {});
+    metrics::histogram& histogram(const description& metric, const labels& series_labels = {},
                                   const histogram_axis& axis = latency_axis);
 
-    /// Everything in Prometheus' text format, version 0.0.4.
+    /// Renders all metrics in the Prometheus text format, version 0.0.4.
     std::string prometheus_text() const;
 
-    /// Every series as it stands; histograms stay valid as long as the registry.
+    /// Returns the current value of every series; histogram pointers are valid for the lifetime of
+    /// the registry.
     std::vector<series_value> values() const;
 
 private:
--- a/src/libcaraway/metrics/registry_dump.cpp
+++ b/src/libcaraway/metrics/registry_dump.cpp
@@ -10,17 +10,17 @@
 namespace
 {
 
-QJsonValue rendered(std::uint64_t count)
+QJsonValue to_json(std::uint64_t count)
 {
     return static_cast<qint64>(count);
 }
 
-QJsonValue rendered(double level)
+QJsonValue to_json(double value)
 {
-    return level;
+    return value;
 }
 
-QJsonValue rendered(const histogram* values)
+QJsonValue to_json(const histogram* values)
 {
     return QJsonObject{{"count", static_cast<qint64>(values->count())},
                        {"sum", values->sum()},
@@ -31,13 +31,13 @@
 
 }  // namespace
 
-QJsonObject dump(const registry& of)
+QJsonObject dump(const registry& source)
 {
     QJsonObject out;
-    for (const auto& each : of.values())
+    for (const auto& series : source.values())
     {
-        out[QString::fromStdString(each.name)] =
-            std::visit([](auto value) { return rendered(value); }, each.value);
+        out[QString::fromStdString(series.name)] =
+            std::visit([](auto value) { return to_json(value); }, series.value);
     }
     return out;
 }
