--- a/src/libcaraway/logging/logger.hpp
+++ b/src/libcaraway/logging/logger.hpp
@@ -34,11 +34,11 @@
 };
 
 /// Upper bound on the length of a line, including its terminator; longer lines are truncated and
-/// marked with the field `truncated`.
+/// marked as such.
 inline constexpr std::size_t max_line_bytes = 4096;
 
-/// Log settings of the process. `out` and `clock` must outlive all loggers; if they are null, lines
-/// are written to standard error with the time of the system clock.
+/// Log settings of the process. `out` and `clock` must stay valid as long as anything logs; if they
+/// are null, lines are written to standard error with the time of the system clock.
 struct options
 {
     level threshold = level::info;
--- a/src/libcaraway/metrics/registry.hpp
+++ b/src/libcaraway/metrics/registry.hpp
@@ -44,8 +44,8 @@
 };
 
 /// Upper bound on the series of one metric, so that a faulty label can't exhaust the memory. Beyond
-/// the bound, all further label values are counted in one series whose label values are all
-/// "other".
+/// the bound, observations with new label values are counted in one series whose label values are
+/// all "other".
 inline constexpr std::size_t max_series = 1024;
 
 /// All metrics of a process. Thread-safe. Requesting an existing series returns the same object;
--- a/src/libcaraway/wire/codec.cpp
+++ b/src/libcaraway/wire/codec.cpp
@@ -185,7 +185,7 @@
 {
     if (static_cast<std::size_t>(bytes.size()) > max_datagram_bytes)
     {
-        return base::make_error(base::errc::corrupt, "envelope: too large");
+        return base::make_error(base::errc::corrupt, "envelope: larger than 32768 bytes");
     }
     cbor_reader in(bytes);
     envelope value;
@@ -193,7 +193,7 @@
     if (const std::uint64_t version = in.integer(); !in.failed() && version != format_version)
     {
         return base::make_error(base::errc::corrupt,
-                                "envelope: format version " + std::to_string(version));
+                                "envelope: unsupported format version " + std::to_string(version));
     }
     read_fields(in, value.from);
     read_fields(in, value.to);
@@ -201,7 +201,7 @@
     in.end_array();
     if (in.failed() || value.from.id.empty())
     {
-        return base::make_error(base::errc::corrupt, "envelope: malformed");
+        return base::make_error(base::errc::corrupt, "envelope: malformed CBOR or empty sender id");
     }
     return value;
 }
--- a/src/libcaraway/wire/sealing.cpp
+++ b/src/libcaraway/wire/sealing.cpp
@@ -52,18 +52,19 @@
 {
     if (sealed.size() < static_cast<qsizetype>(seal_bytes))
     {
-        return base::make_error(base::errc::corrupt, "seal: too short");
+        return base::make_error(base::errc::corrupt, "seal: datagram shorter than 17 bytes");
     }
     const auto id = static_cast<key_id>(static_cast<std::uint8_t>(sealed[0]));
     const auto key = ring.keys.find(id);
     if (key == ring.keys.end())
     {
-        return base::make_error(base::errc::unauthenticated, "seal: unknown key");
+        return base::make_error(base::errc::unauthenticated, "seal: unknown key id");
     }
     QByteArray payload = sealed.mid(static_cast<qsizetype>(seal_bytes));
     if (!equal_in_constant_time(sealed.mid(1, tag_bytes), compute_tag(id, key->second, payload)))
     {
-        return base::make_error(base::errc::unauthenticated, "seal: wrong tag");
+        return base::make_error(base::errc::unauthenticated,
+                                "seal: authentication tag does not match");
     }
     return payload;
 }
--- a/src/libcaraway/wire/sealing.hpp
+++ b/src/libcaraway/wire/sealing.hpp
@@ -36,7 +36,7 @@
 ///
 /// Replays need no detection here. The sealed envelope names the incarnations of sender and
 /// receiver, and messages carry only state with a rank or sequence. A replayed datagram of the
-/// current incarnation is therefore idempotent, and a datagram for an earlier incarnation is
+/// current incarnation is therefore idempotent, and a datagram of an earlier incarnation is
 /// dropped.
 base::result<QByteArray> open(const key_ring& ring, const QByteArray& sealed);
 
--- a/tests/wire/test_wire.cpp
+++ b/tests/wire/test_wire.cpp
@@ -23,9 +23,9 @@
     BOOST_TEST(rc::check(description, property));
 }
 
-base::node_ref node(const char* id, std::uint64_t life)
+base::node_ref node(const char* id, std::uint64_t incarnation)
 {
-    return {.id = base::node_id(id), .life = base::incarnation{life}};
+    return {.id = base::node_id(id), .life = base::incarnation{incarnation}};
 }
 
 /// An envelope with messages of several kinds and no empty lists.
