--- a/src/libcaraway/wire/codec.cpp
+++ b/src/libcaraway/wire/codec.cpp
@@ -185,7 +185,7 @@
 {
     if (static_cast<std::size_t>(bytes.size()) > max_datagram_bytes)
     {
-        return base::make_error(base::errc::corrupt, "envelope: larger than 32768 bytes");
+        return base::make_error(base::errc::corrupt, "envelope: too large for one datagram");
     }
     cbor_reader in(bytes);
     envelope value;
--- a/src/libcaraway/wire/sealing.cpp
+++ b/src/libcaraway/wire/sealing.cpp
@@ -52,7 +52,7 @@
 {
     if (sealed.size() < static_cast<qsizetype>(seal_bytes))
     {
-        return base::make_error(base::errc::corrupt, "seal: datagram shorter than 17 bytes");
+        return base::make_error(base::errc::corrupt, "seal: datagram shorter than the seal header");
     }
     const auto id = static_cast<key_id>(static_cast<std::uint8_t>(sealed[0]));
     const auto key = ring.keys.find(id);
