--- a/src/libcaraway/router/core.cpp
+++ b/src/libcaraway/router/core.cpp
@@ -213,7 +213,7 @@
         }
     }
     const bool was_ejected = health.ejected(id, now());
-    health.note(id, result, peers, now());
+    health.record_result(id, result, peers, now());
     const bool is_ejected = health.ejected(id, now());
     if (is_ejected != was_ejected)
     {
@@ -241,7 +241,7 @@
     log.line("upstream_restarted", {{"upstream", id.str()}, {"born", process_start.count()}});
     pool.close_all(id);
     placer.forget(id);
-    health.forget(id);
+    health.discard(id);
     log_crash(crashes.record_restarted(id, now()));
     std::vector<std::shared_ptr<request_session>> affected;
     if (const auto found = in_flight_.find(id); found != in_flight_.end())
--- a/src/libcaraway/scheduling/grant_picker.hpp
+++ b/src/libcaraway/scheduling/grant_picker.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "libcaraway/base/clock.hpp"
-#include "libcaraway/scheduling/demand_board.hpp"
+#include "libcaraway/scheduling/demand_tracker.hpp"
 #include "libcaraway/scheduling/grant_sender.hpp"
 #include "libcaraway/scheduling/node_context.hpp"
 #include "libcaraway/scheduling/prefix_affinity.hpp"
@@ -15,7 +15,7 @@
 namespace caraway::scheduling
 {
 
-/// A slot found for a request that waits.
+/// A free slot chosen for a waiting request.
 struct pick
 {
     base::node_ref router;
@@ -25,9 +25,9 @@
     std::uint64_t affinity = 0;
 };
 
-/// Says who gets the next slot of a service: the account with the least virtual time, of its
-/// routers the one whose request waits longest, and of the free upstreams the one that fits it
-/// best.
+/// Chooses the receiver of the next slot of a service: the account with the lowest virtual time, of
+/// its routers the one whose request has waited longest, and of the free upstreams the most
+/// suitable one (cached prefix, then same zone, then most free slots).
 class grant_picker
 {
 public:
@@ -35,8 +35,8 @@
     using offer_rule =
         std::function<bool(const base::node_ref&, const base::upstream_id&, const account&)>;
 
-    grant_picker(const node_context& context, const totals_role& totals, const demand_board& board,
-                 const grant_sender& sender, const slot_ledger& ledger,
+    grant_picker(const node_context& context, const totals_role& totals,
+                 const demand_tracker& board, const grant_sender& sender, const slot_ledger& ledger,
                  const prefix_affinity& affinity);
 
     std::optional<pick> next(const base::service_id& service, const offer_rule& may_offer,
@@ -46,19 +46,19 @@
     struct candidate
     {
         base::node_ref router;
-        const demand* wanted = nullptr;
+        const demand* reported = nullptr;
         base::virtual_time virtual_now;
         double age_ms = 0;
     };
 
     std::vector<candidate> candidates(const base::service_id& service, base::time_point now) const;
     std::optional<base::upstream_id> best_upstream(const std::vector<base::upstream_id>& free,
-                                                   const candidate& taker,
+                                                   const candidate& requester,
                                                    const offer_rule& may_offer) const;
 
     const node_context& context_;
     const totals_role& totals_;
-    const demand_board& board_;
+    const demand_tracker& board_;
     const grant_sender& sender_;
     const slot_ledger& ledger_;
     const prefix_affinity& affinity_;
--- a/src/libcaraway/scheduling/told_demands.cpp
+++ b/src/libcaraway/scheduling/synced_demands.cpp
@@ -1,4 +1,4 @@
-#include "libcaraway/scheduling/told_demands.hpp"
+#include "libcaraway/scheduling/synced_demands.hpp"
 
 #include <algorithm>
 
@@ -8,7 +8,8 @@
 namespace
 {
 
-/// With fewer waiting, each one matters: an owner could grant more than there are.
+/// Smaller queues have to match exactly: with outdated demands, an owner could grant more slots
+/// than there are requests.
 constexpr std::uint32_t few_waiting = 4;
 
 bool is_alike(const demand& a, const demand& b)
@@ -20,26 +21,26 @@
 
 }  // namespace
 
-told_demands::told_demands(base::duration refresh) : refresh_(refresh) {}
+synced_demands::synced_demands(base::duration refresh) : refresh_(refresh) {}
 
-bool told_demands::may_leave_out(const base::node_ref& owner, const std::vector<demand>& demands,
-                                 base::time_point now)
+bool synced_demands::may_omit(const base::node_ref& owner, const std::vector<demand>& demands,
+                              base::time_point now)
 {
     const auto known = owners_.find(owner);
-    const bool fresh = known != owners_.end() && now - known->second.at < refresh_;
+    const bool fresh = known != owners_.end() && now - known->second.sent < refresh_;
     if (fresh && !demands.empty() &&
         std::equal(demands.begin(), demands.end(), known->second.demands.begin(),
                    known->second.demands.end(), is_alike))
     {
         return true;
     }
-    owners_[owner] = {.demands = demands, .at = now};
+    owners_[owner] = {.demands = demands, .sent = now};
     return false;
 }
 
-void told_demands::retain(const std::function<bool(const base::node_ref&)>& alive)
+void synced_demands::retain(const std::function<bool(const base::node_ref&)>& alive)
 {
-    std::erase_if(owners_, [&alive](const auto& each) { return !alive(each.first); });
+    std::erase_if(owners_, [&alive](const auto& entry) { return !alive(entry.first); });
 }
 
 }  // namespace caraway::scheduling
--- a/src/libcaraway/wire/scheduling_codec.cpp
+++ b/src/libcaraway/wire/scheduling_codec.cpp
@@ -199,43 +199,43 @@
 void write_fields(QCborStreamWriter& out, const router_report& value)
 {
     write(out, value.sequence);
-    write(out, static_cast<std::uint64_t>(value.owner_life));
+    write(out, static_cast<std::uint64_t>(value.owner_incarnation));
     write(out, value.view);
     write(out, static_cast<std::uint64_t>(value.last_grant));
     write_list(out, value.declined, write_grant_number);
     write_list(out, value.demands, write_demand);
     write_list(out, value.holdings, write_holding);
     write_list(out, value.ejected, write_upstream);
-    write(out, std::uint64_t{value.demands_kept});
+    write(out, std::uint64_t{value.demands_unchanged});
 }
 
 void read_fields(cbor_reader& in, router_report& value)
 {
     read_number(in, value.sequence);
-    read_number(in, value.owner_life);
+    read_number(in, value.owner_incarnation);
     read_number(in, value.view);
     read_number(in, value.last_grant);
-    in.list(value.declined, max_scheduling_elements, read_grant_number);
-    in.list(value.demands, max_scheduling_elements, read_demand);
-    in.list(value.holdings, max_scheduling_elements, read_holding);
-    in.list(value.ejected, max_scheduling_elements, read_upstream);
-    std::uint64_t kept = 0;
-    read_number(in, kept);
-    value.demands_kept = kept != 0;
+    in.read_list(value.declined, max_scheduling_elements, read_grant_number);
+    in.read_list(value.demands, max_scheduling_elements, read_demand);
+    in.read_list(value.holdings, max_scheduling_elements, read_holding);
+    in.read_list(value.ejected, max_scheduling_elements, read_upstream);
+    std::uint64_t unchanged = 0;
+    read_number(in, unchanged);
+    value.demands_unchanged = unchanged != 0;
 }
 
 void write_fields(QCborStreamWriter& out, const grant_list& value)
 {
-    write(out, static_cast<std::uint64_t>(value.router_life));
+    write(out, static_cast<std::uint64_t>(value.router_incarnation));
     write_list(out, value.grants, write_grant);
     write_list(out, value.free, write_free);
 }
 
 void read_fields(cbor_reader& in, grant_list& value)
 {
-    read_number(in, value.router_life);
-    in.list(value.grants, max_scheduling_elements, read_grant);
-    in.list(value.free, max_scheduling_elements, read_free);
+    read_number(in, value.router_incarnation);
+    in.read_list(value.grants, max_scheduling_elements, read_grant);
+    in.read_list(value.free, max_scheduling_elements, read_free);
 }
 
 void write_fields(QCborStreamWriter& out, const totals_report& value)
@@ -249,9 +249,9 @@
 void read_fields(cbor_reader& in, totals_report& value)
 {
     read_number(in, value.sequence);
-    in.list(value.totals, max_scheduling_elements, read_total);
-    in.list(value.wanted, max_scheduling_elements, read_account);
-    in.list(value.floors, max_scheduling_elements, read_floor);
+    in.read_list(value.totals, max_scheduling_elements, read_total);
+    in.read_list(value.wanted, max_scheduling_elements, read_account);
+    in.read_list(value.floors, max_scheduling_elements, read_floor);
 }
 
 void write_fields(QCborStreamWriter& out, const totals_reply& value)
@@ -265,8 +265,8 @@
 void read_fields(cbor_reader& in, totals_reply& value)
 {
     read_number(in, value.sequence);
-    in.list(value.sums, max_scheduling_elements, read_sum);
-    in.list(value.floors, max_scheduling_elements, read_floor);
+    in.read_list(value.sums, max_scheduling_elements, read_sum);
+    in.read_list(value.floors, max_scheduling_elements, read_floor);
     read_number(in, value.interval_ms);
 }
 
--- a/tests/routing/test_placer.cpp
+++ b/tests/routing/test_placer.cpp
@@ -280,7 +280,7 @@
 
     for (int failure = 0; failure < 5; ++failure)
     {
-        health.note(home.id, scheduling::attempt_result::failed, {}, now);
+        health.record_result(home.id, scheduling::attempt_result::failed, {}, now);
     }
     BOOST_TEST(health.ejected(home.id, now) != place(request)->cache_source.has_value());
 
