--- a/tests/users_platform/paced_clock.hpp
+++ b/tests/users_platform/paced_clock.hpp
@@ -24,8 +24,8 @@
         return machine_.wall_time();
     }
 
-    /// Runs one handler, or waits up to 1 ms if none is due. A handler advances the clock by at
-    /// most 100 us.
+    /// Runs one handler, or waits up to 1 ms if none is due. A handler that was due
+    /// advances the clock by at most 100 us.
     void run_one(boost::asio::io_context& loop)
     {
         using namespace std::chrono_literals;
--- a/tests/users_platform/router_fixture.cpp
+++ b/tests/users_platform/router_fixture.cpp
@@ -110,8 +110,8 @@
         platform::make_port(loop, *router_timers, platform_store.address()), log,
         [this, options]
         {
-            // Each router reads its own settings. `changed_settings` may hold those of another
-            // router, as it is set by the router started last.
+            // `changed_settings` holds the settings of the router started last; the other routers
+            // read their own.
             const bool belongs_to_other =
                 changed_settings && changed_settings.value().name != options.name;
             return belongs_to_other ? base::result<router::settings>(options) : changed_settings;
--- a/tests/users_platform/test_leaving.cpp
+++ b/tests/users_platform/test_leaving.cpp
@@ -14,7 +14,7 @@
 // that is older than the router's own state has the same effect.
 // Seen in 2 of 6 seeds, only with upstreams that started while the routers were rejected. A router
 // logged the removal at 12.11 s and used the upstream until 33.16 s, 21 s after it had left; eight
-// requests reached it later than allowed, the first 3,425 ms (over 3.4 s) after it had left.
+// requests reached the upstream later than allowed, the first 3,425 ms after it had left.
 
 namespace
 {
--- a/tests/users_platform/test_peer_digests.cpp
+++ b/tests/users_platform/test_peer_digests.cpp
@@ -41,12 +41,12 @@
 BOOST_FIXTURE_TEST_SUITE(peer_digests, digest_fixture)
 
 // Guards against a router that learns late which upstreams leave. One of 86 routers, on an
-// overloaded VM of 0.12 cores, kept using leaving upstreams for up to 1.9 s, and in another run for
-// 3.1 s (3 s are allowed) after the other routers had stopped; those all knew within 0.3 s. It
-// received some 160 digests per second, each naming the upstreams that leave, and an iteration of
-// its event loop took tens of milliseconds. It read only one digest per iteration, so the others
-// queued in the socket, the newest longest. The check for pending digests before each placement was
-// skipped because a digest had been received just before.
+// overloaded VM of 0.12 cores, kept using leaving upstreams for up to 1.9 s after other routers had
+// learned of the leave, in another run for up to 3.1 s (3 s are allowed); all other routers learned
+// of it within 0.3 s. The router received some 160 digests per second, each naming the upstreams
+// that leave, and an iteration of its event loop took tens of milliseconds. Only one digest was
+// read per iteration, so the others queued in the socket, the newest longest. The check for pending
+// digests before each placement was skipped because a digest had been received just before.
 BOOST_AUTO_TEST_CASE(all_pending_digests_are_received_with_the_first)
 {
     auto& router = start_router();
--- a/tests/users_platform/test_requests.cpp
+++ b/tests/users_platform/test_requests.cpp
@@ -356,7 +356,7 @@
     BOOST_TEST(runs() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(a_stream_aborted_before_its_first_event_is_retried_if_resumable)
+BOOST_AUTO_TEST_CASE(a_stream_aborted_before_its_first_event_is_retried_only_if_resumable)
 {
     auto& router = serve(resumable_stream, true);
     bool failed = false;
