--- a/src/libcaraway/http/buffered_call.cpp
+++ b/src/libcaraway/http/buffered_call.cpp
@@ -12,8 +12,8 @@
 
 namespace beast_http = boost::beast::http;
 
-/// Whole answers of the store hold a megabyte at most.
-constexpr std::size_t max_body = 8U << 20U;
+/// Bytes; the store's answers have at most 1 MB. Body bytes beyond this are discarded.
+constexpr std::size_t max_body_bytes = 8U << 20U;
 
 }  // namespace
 
@@ -50,7 +50,9 @@
         [this]
         {
             connection_->close();
-            finish(base::make_error(base::errc::unknown_effect, "No answer in time."));
+            finish(base::make_error(
+                base::errc::unknown_effect,
+                "no complete answer within the time-out; the request may have taken effect"));
         });
     connection_->call(
         to, std::move(request), false,
@@ -58,18 +60,19 @@
          .body =
              [this](std::string_view part)
          {
-             if (answer_.body.size() + part.size() <= max_body)
+             if (answer_.body.size() + part.size() <= max_body_bytes)
              {
                  answer_.body += part;
              }
          },
          .end = [this] { finish(std::move(answer_)); },
          .failed =
-             [this](call_failure why)
+             [this](call_failure failure)
          {
-             const auto code = why == call_failure::not_connected ? base::errc::unavailable
-                                                                  : base::errc::unknown_effect;
-             finish(base::make_error(code, "The connection ended before a whole answer came."));
+             const auto code = failure == call_failure::not_connected ? base::errc::unavailable
+                                                                      : base::errc::unknown_effect;
+             finish(
+                 base::make_error(code, "connection failed before a complete answer was received"));
          }});
 }
 
--- a/src/libcaraway/http/buffered_call.hpp
+++ b/src/libcaraway/http/buffered_call.hpp
@@ -6,15 +6,15 @@
 namespace caraway::http
 {
 
-/// A whole answer.
+/// A complete answer.
 struct buffered_answer
 {
     unsigned status = 0;
     std::string body;
 };
 
-/// Calls one server, one call at a time, on a connection that is kept: the platform's store, a
-/// peer. Answers are taken whole.
+/// HTTP client with one persistent connection and one call at a time, for the platform's store and
+/// for peers. Collects each answer completely before delivering it.
 class buffered_caller
 {
 public:
@@ -23,10 +23,12 @@
     buffered_caller(boost::asio::io_context& loop, timer_queue& timers);
     ~buffered_caller();
 
-    /// Ends with errc::unavailable if nothing was sent, errc::unknown_effect if no whole answer
-    /// came in `timeout`. Only while not busy.
+    /// Errors passed to `action`: errc::unavailable if nothing was sent; errc::unknown_effect if
+    /// the connection failed later or no complete answer arrived within `timeout`. Only while not
+    /// busy.
     void call(const routing::endpoint& to, std::string request, std::chrono::milliseconds timeout,
               done action);
+    /// Whether a call is in progress.
     bool busy() const
     {
         return done_ != nullptr;
@@ -44,11 +46,12 @@
     done done_;
 };
 
-/// The bytes of a whole message.
+/// Returns the message as it is sent on the connection.
 std::string serialize(boost::beast::http::request<boost::beast::http::string_body>& message);
 
-/// A request without a body.
+/// Returns a serialized GET request without a body.
 std::string get_request(const routing::endpoint& to, const std::string& target);
+/// Returns a serialized request; a non-empty `body` is sent as application/json.
 std::string body_request(std::string_view method, const routing::endpoint& to,
                          const std::string& target, std::string_view body);
 
--- a/src/libcaraway/http/client_connection.cpp
+++ b/src/libcaraway/http/client_connection.cpp
@@ -18,11 +18,12 @@
 
 namespace beast_http = boost::beast::http;
 
-/// Larger than any head that a caller may send, as answers may carry the request's fields back.
-constexpr std::uint32_t max_head = 65536;
+/// Bytes. Larger than any request head a caller may send, as answers may echo the request's fields.
+constexpr std::uint32_t max_head_bytes = 65536;
 
-/// The seconds of "timeout=N" in a Keep-Alive field.
-std::optional<std::chrono::seconds> kept_for(const response_head& head)
+/// Returns the value of the "timeout=N" parameter of the Keep-Alive field; empty if it is missing
+/// or malformed.
+std::optional<std::chrono::seconds> parse_keep_alive_timeout(const response_head& head)
 {
     const auto value = head[field::keep_alive];
     const std::string_view text(value.data(), value.size());
@@ -57,9 +58,9 @@
     events_ = std::make_shared<call_events>(std::move(events));
     belongs_ = std::move(belongs);
     head_only_ = head_only;
-    busy_ = true;
-    sent_ = false;
-    written_ = false;
+    call_in_progress_ = true;
+    write_started_ = false;
+    write_completed_ = false;
     start_parser();
     if (open_)
     {
@@ -76,7 +77,7 @@
         return;
     }
     closed_ = true;
-    busy_ = false;
+    call_in_progress_ = false;
     events_.reset();
     timers_.cancel(connect_deadline_);
     boost::system::error_code ignored;
@@ -85,7 +86,7 @@
 
 bool client_connection::is_reusable() const
 {
-    return open_ && !busy_ && !closed_;
+    return open_ && !call_in_progress_ && !closed_;
 }
 
 void client_connection::connect(const routing::endpoint& to)
@@ -136,27 +137,27 @@
 
 void client_connection::write()
 {
-    sent_ = true;
+    write_started_ = true;
     boost::asio::async_write(socket_, boost::asio::buffer(request_),
                              [self = shared_from_this()](const auto& error, std::size_t)
                              {
-                                 // A failed write shows in the read too, behind an answer that
-                                 // may have come before the request was taken in whole.
-                                 self->written_ = !error;
+                                 // A failed write makes the read fail too, after any answer that
+                                 // the server sent before it had received the whole request.
+                                 self->write_completed_ = !error;
                              });
 }
 
 void client_connection::read()
 {
-    if (reading_ || closed_)
+    if (read_pending_ || closed_)
     {
         return;
     }
-    reading_ = true;
+    read_pending_ = true;
     socket_.async_wait(tcp::socket::wait_read,
                        [self = shared_from_this()](const boost::system::error_code& error)
                        {
-                           self->reading_ = false;
+                           self->read_pending_ = false;
                            if (!self->closed_)
                            {
                                self->on_readable(error);
@@ -177,7 +178,7 @@
         on_end_of_stream(failed);
         return;
     }
-    if (bytes > 0 && !busy_)
+    if (bytes > 0 && !call_in_progress_)
     {
         close();
         return;
@@ -193,11 +194,11 @@
 
 void client_connection::parse()
 {
-    while (busy_ && buffer_.size() > 0)
+    while (call_in_progress_ && buffer_.size() > 0)
     {
         boost::system::error_code error;
-        const auto used = parser_->put(boost::asio::buffer(buffer_), error);
-        buffer_.erase(0, used);
+        const auto bytes_parsed = parser_->put(boost::asio::buffer(buffer_), error);
+        buffer_.erase(0, bytes_parsed);
         if (error && error != beast_http::error::need_more)
         {
             fail();
@@ -205,18 +206,18 @@
         }
         if (parser_->is_header_done() && !head_seen_)
         {
-            take_head();
+            process_head();
         }
-        if (busy_ && head_seen_)
+        if (call_in_progress_ && head_seen_)
         {
-            pass_body();
+            deliver_body();
         }
-        if (busy_ && parser_->is_done())
+        if (call_in_progress_ && parser_->is_done())
         {
             complete();
             continue;
         }
-        if (error || used == 0)
+        if (error || bytes_parsed == 0)
         {
             return;
         }
@@ -226,7 +227,7 @@
 void client_connection::start_parser()
 {
     parser_.emplace();
-    parser_->header_limit(max_head);
+    parser_->header_limit(max_head_bytes);
     parser_->body_limit(boost::none);
     parser_->eager(true);
     parser_->skip(head_only_);
@@ -234,7 +235,7 @@
     skipping_ = false;
 }
 
-void client_connection::take_head()
+void client_connection::process_head()
 {
     head_seen_ = true;
     const response_head& head = parser_->get().base();
@@ -247,7 +248,7 @@
     }
 }
 
-void client_connection::pass_body()
+void client_connection::deliver_body()
 {
     auto& body = parser_->get().body();
     if (body.empty())
@@ -271,18 +272,18 @@
         return;
     }
     const response_head& head = parser_->get().base();
-    const bool keep = parser_->keep_alive() && !parser_->need_eof() && written_;
-    const auto seconds = kept_for(head);
-    busy_ = false;
-    if (written_)
+    const bool reusable = parser_->keep_alive() && !parser_->need_eof() && write_completed_;
+    const auto seconds = parse_keep_alive_timeout(head);
+    call_in_progress_ = false;
+    if (write_completed_)
     {
         std::string().swap(request_);
     }
     idle_since_ = timers_.now();
     keep_alive_until_ = seconds ? std::optional(idle_since_ + *seconds) : std::nullopt;
     const auto events = std::move(events_);
-    // Bytes behind a complete answer belong to no call.
-    if (!keep || buffer_.size() > 0)
+    // Bytes after a complete answer belong to no call.
+    if (!reusable || buffer_.size() > 0)
     {
         close();
     }
@@ -294,19 +295,19 @@
 
 void client_connection::on_end_of_stream(const boost::system::error_code& error)
 {
-    if (!busy_)
+    if (!call_in_progress_)
     {
         close();
         return;
     }
-    // An answer without length is whole when the other side closes; one that is reset isn't.
+    // An answer without a length is complete at an orderly close, but not after a reset.
     if (error == boost::asio::error::eof && head_seen_ && !skipping_ && parser_->need_eof())
     {
         boost::system::error_code unfinished;
         parser_->put_eof(unfinished);
         if (!unfinished && parser_->is_done())
         {
-            pass_body();
+            deliver_body();
             complete();
             return;
         }
@@ -317,14 +318,14 @@
 void client_connection::fail()
 {
     const bool head = head_seen_ && !skipping_;
-    const auto why = head    ? call_failure::truncated_answer
-                     : sent_ ? call_failure::no_answer
-                             : call_failure::not_connected;
+    const auto failure = head             ? call_failure::truncated_answer
+                         : write_started_ ? call_failure::no_answer
+                                          : call_failure::not_connected;
     const auto events = events_;
     close();
     if (events && events->failed)
     {
-        events->failed(why);
+        events->failed(failure);
     }
 }
 
--- a/src/libcaraway/http/client_connection.hpp
+++ b/src/libcaraway/http/client_connection.hpp
@@ -15,16 +15,17 @@
 namespace caraway::http
 {
 
-/// Why a call got no whole answer.
+/// Why a call did not get a complete answer.
 enum class call_failure
 {
-    not_connected,  ///< Nothing was sent.
-    no_answer,      ///< The request was sent, at least in part; no head of an answer came.
-    cut_answer,     ///< The head came, the rest did not.
+    not_connected,  ///< No byte of the request was sent.
+    no_answer,      ///< The request was sent at least in part; no response head arrived.
+    cut_answer,     ///< The response head arrived, the rest did not.
 };
 
-/// What a call tells its owner. `head` comes once, then any number of `body`, then `end`; or
-/// `failed` at any moment. Nothing after `end` or `failed`.
+/// Callbacks of a call. `head` is called once, then `body` any number of times, then `end`.
+/// `failed` may be called at any point instead. No callback follows `end` or `failed`. Any of them
+/// may be null, and any may close the connection.
 struct call_events
 {
     std::function<void(const response_head&)> head;
@@ -33,42 +34,45 @@
     std::function<void(call_failure)> failed;
 };
 
-/// Tells whether an answer belongs to the call that waits.
+/// Returns whether an answer belongs to the call in progress.
 using answer_check = std::function<bool(const response_head&)>;
 
 struct connect_options
 {
     std::chrono::milliseconds connect_timeout{300};
-    /// Unacknowledged bytes end the connection after this, as when the other machine lost power:
-    /// TCP alone would go on for a quarter of an hour.
+    /// TCP_USER_TIMEOUT: closes the connection if sent bytes stay unacknowledged for this long, as
+    /// after a power loss of the remote machine. TCP by default retransmits for 15 minutes.
     std::chrono::milliseconds unacknowledged_timeout{4000};
 };
 
-/// A connection to an upstream, the store or a peer. One call at a time; kept open between calls.
+/// A persistent HTTP/1.1 connection to an upstream, the store or a peer; one call at a time.
 ///
-/// An answer that isn't the waiting call's is skipped, whole: an upstream may send a second answer
-/// to an earlier call, late, just where the next is due, and taking it would hand one caller
-/// another's answer. Bytes that come while no call waits end the connection.
+/// An answer that doesn't belong to the call in progress is skipped entirely: an upstream may send
+/// a late duplicate answer to an earlier call in place of the next answer, and accepting it would
+/// deliver one caller's answer to another. Bytes received between calls close the connection.
 class client_connection : public std::enable_shared_from_this<client_connection>
 {
 public:
     client_connection(boost::asio::io_context& loop, timer_queue& timers,
                       connect_options options = {});
 
-    /// Connects if need be and sends. `request` is a whole message. Null `belongs` takes any
-    /// answer.
+    /// Sends `request`, a complete serialized message, and connects to `to` first if the connection
+    /// isn't open. `head_only` is set for HEAD requests, whose answers have no body. A null
+    /// `belongs` accepts any answer. Only while no call is in progress.
     void call(const routing::endpoint& to, std::string request, bool head_only, call_events events,
               answer_check belongs = nullptr);
-    /// Ends the call, if any, and the connection; no event follows.
+    /// Closes the connection and cancels the call in progress, if any, without calling its events.
     void close();
 
-    /// No call is under way and another may be sent.
+    /// Whether the connection is open and no call is in progress.
     bool is_reusable() const;
+    /// When the last call completed.
     base::time_point idle_since() const
     {
         return idle_since_;
     }
-    /// Until when the other side said it keeps the connection; nothing if it didn't say.
+    /// When the server closes the idle connection, by the Keep-Alive field of its last answer;
+    /// empty if the answer had no `timeout` parameter.
     std::optional<base::time_point> keep_alive_until() const
     {
         return keep_alive_until_;
@@ -85,8 +89,8 @@
     void on_readable(const boost::system::error_code& error);
     void parse();
     void start_parser();
-    void take_head();
-    void pass_body();
+    void process_head();
+    void deliver_body();
     void complete();
     void on_end_of_stream(const boost::system::error_code& error);
     void fail();
@@ -95,24 +99,24 @@
     timer_queue& timers_;
     connect_options options_;
     timer_queue::handle connect_deadline_;
-    /// Read and not yet parsed.
+    /// Received bytes that have not been parsed.
     std::string buffer_;
     std::optional<parser_type> parser_;
     std::string request_;
-    /// Shared, as an event may end the call that it belongs to.
+    /// Shared, as a callback may end the call whose events these are.
     std::shared_ptr<call_events> events_;
     answer_check belongs_;
     base::time_point idle_since_{};
     std::optional<base::time_point> keep_alive_until_;
     bool head_only_ = false;
-    bool busy_ = false;
+    bool call_in_progress_ = false;
     bool open_ = false;
     bool closed_ = false;
-    bool sent_ = false;
-    bool written_ = false;
+    bool write_started_ = false;
+    bool write_completed_ = false;
     bool head_seen_ = false;
     bool skipping_ = false;
-    bool reading_ = false;
+    bool read_pending_ = false;
 };
 
 }  // namespace caraway::http
--- a/src/libcaraway/http/event_splitter.cpp
+++ b/src/libcaraway/http/event_splitter.cpp
@@ -8,21 +8,22 @@
 namespace
 {
 
-/// Where the blank line at `at` ends, if one begins there: "\n\n" or "\n\r\n".
-std::size_t blank_line_end(std::string_view text, std::size_t at)
+/// Returns the position after the blank line ("\n\n" or "\n\r\n") that begins newline `newline`, or
+/// 0 if none does.
+std::size_t blank_line_end(std::string_view text, std::size_t newline)
 {
-    if (at + 1 < text.size() && text[at + 1] == '\n')
+    if (newline + 1 < text.size() && text[newline + 1] == '\n')
     {
-        return at + 2;
+        return newline + 2;
     }
-    if (at + 2 < text.size() && text[at + 1] == '\r' && text[at + 2] == '\n')
+    if (newline + 2 < text.size() && text[newline + 1] == '\r' && text[newline + 2] == '\n')
     {
-        return at + 3;
+        return newline + 3;
     }
     return 0;
 }
 
-std::optional<std::uint64_t> id_of(std::string_view text)
+std::optional<std::uint64_t> parse_id(std::string_view text)
 {
     std::size_t line = 0;
     while (line < text.size())
@@ -49,11 +50,11 @@
 
 void event_splitter::add(std::string_view bytes)
 {
-    if (begin_ > 0)
+    if (event_begin_ > 0)
     {
-        buffer_.erase(0, begin_);
-        searched_ -= begin_;
-        begin_ = 0;
+        buffer_.erase(0, event_begin_);
+        search_begin_ -= event_begin_;
+        event_begin_ = 0;
     }
     buffer_ += bytes;
 }
@@ -61,27 +62,27 @@
 std::optional<stream_event> event_splitter::next()
 {
     const std::string_view all(buffer_);
-    auto newline = all.find('\n', searched_);
+    auto newline = all.find('\n', search_begin_);
     while (newline != std::string_view::npos)
     {
         const auto end = blank_line_end(all, newline);
         if (end > 0)
         {
-            const auto text = all.substr(begin_, end - begin_);
-            begin_ = end;
-            searched_ = end;
-            return stream_event{.text = text, .id = id_of(text)};
+            const auto text = all.substr(event_begin_, end - event_begin_);
+            event_begin_ = end;
+            search_begin_ = end;
+            return stream_event{.text = text, .id = parse_id(text)};
         }
         if (newline + 2 >= all.size())
         {
-            // The rest of a blank line may still come.
-            searched_ = newline;
+            // The remainder of a blank line may still arrive.
+            search_begin_ = newline;
             return std::nullopt;
         }
-        searched_ = newline + 1;
-        newline = all.find('\n', searched_);
+        search_begin_ = newline + 1;
+        newline = all.find('\n', search_begin_);
     }
-    searched_ = all.size();
+    search_begin_ = all.size();
     return std::nullopt;
 }
 
--- a/src/libcaraway/http/event_splitter.hpp
+++ b/src/libcaraway/http/event_splitter.hpp
@@ -8,32 +8,33 @@
 namespace caraway::http
 {
 
-/// One event of a stream, with the blank line that ends it.
+/// One event of a stream, including the blank line that ends it.
 struct stream_event
 {
     std::string_view text;
+    /// Value of the `id` field; empty if it is missing or not a number.
     std::optional<std::uint64_t> id;
 };
 
-/// Cuts the bytes of an event stream (text/event-stream, WHATWG HTML) into whole events. An
-/// upstream may break off in the middle of one; what is passed on only whole can be continued by
-/// another upstream without a gap or a repetition.
+/// Splits the bytes of an event stream (text/event-stream, WHATWG HTML) into complete events. An
+/// upstream may fail in the middle of an event; a stream relayed in complete events only can be
+/// resumed by another upstream without a gap or a duplicate.
 class event_splitter
 {
 public:
     void add(std::string_view bytes);
-    /// The next whole event; its text is valid until the next call of this object.
+    /// Returns the next complete event, if any. Its text is valid until the next call of `add`.
     std::optional<stream_event> next();
-    /// Bytes of an event that isn't whole.
+    /// Whether the buffer holds bytes that `next` has not returned, such as an incomplete event.
     bool has_partial_event() const
     {
-        return begin_ < buffer_.size();
+        return event_begin_ < buffer_.size();
     }
 
 private:
     std::string buffer_;
-    std::size_t begin_ = 0;
-    std::size_t searched_ = 0;
+    std::size_t event_begin_ = 0;
+    std::size_t search_begin_ = 0;
 };
 
 }  // namespace caraway::http
--- a/src/libcaraway/http/exchange.cpp
+++ b/src/libcaraway/http/exchange.cpp
@@ -27,7 +27,7 @@
     {
         return;
     }
-    set_ended();
+    mark_ended();
     head.erase(field::transfer_encoding);
     head.set(field::content_length, std::to_string(body.size()));
     connection_->send_head(head);
@@ -56,20 +56,20 @@
     connection_->flush();
 }
 
-void exchange::write(std::string_view part)
+void exchange::write(std::string_view chunk)
 {
-    if (ended_ || part.empty())
+    if (ended_ || chunk.empty())
     {
         return;
     }
-    const boost::asio::const_buffer bytes(part.data(), part.size());
+    const boost::asio::const_buffer bytes(chunk.data(), chunk.size());
     if (chunked_)
     {
         connection_->send(buffers_to_string(boost::beast::http::make_chunk(bytes)));
     }
     else
     {
-        connection_->send(part);
+        connection_->send(chunk);
     }
     connection_->flush();
 }
@@ -80,12 +80,12 @@
     {
         return;
     }
-    set_ended();
+    mark_ended();
     if (chunked_)
     {
         connection_->send(buffers_to_string(boost::beast::http::make_chunk_last()));
     }
-    // Without chunks only the connection's end tells the caller that the answer is whole.
+    // Without chunked encoding, only closing the connection marks the end of the answer.
     connection_->answer_ended(chunked_);
 }
 
@@ -95,41 +95,42 @@
     {
         return;
     }
-    set_ended();
+    mark_ended();
     if (begun_ && !chunked_)
     {
-        // A plain close would look like the end of the answer; a reset can't.
+        // An orderly close would look like the end of the answer; a reset does not.
         boost::system::error_code ignored;
         connection_->socket_.set_option(boost::asio::socket_base::linger(true, 0), ignored);
     }
     else
     {
-        // What was written still goes out; without the last chunk it can't look complete.
+        // Pending output is still sent; without the last chunk the answer is visibly incomplete.
         connection_->answer_ended(false);
         return;
     }
     connection_->close();
 }
 
-void exchange::set_ended()
+void exchange::mark_ended()
 {
     ended_ = true;
-    // Its owner holds the exchange and the action holds the owner: kept, both would stay for good.
-    gone_ = nullptr;
+    // The owner holds the exchange and the callback holds the owner; keeping the callback would
+    // leak both.
+    disconnect_callback_ = nullptr;
 }
 
 bool exchange::caller_disconnected() const
 {
-    char next = 0;
+    char next_byte = 0;
     boost::system::error_code error;
-    connection_->socket_.receive(boost::asio::buffer(&next, 1),
+    connection_->socket_.receive(boost::asio::buffer(&next_byte, 1),
                                  server_connection::socket_type::message_peek, error);
     return error && error != boost::asio::error::would_block;
 }
 
-void exchange::on_disconnect(std::function<void()> action)
+void exchange::on_disconnect(std::function<void()> callback)
 {
-    gone_ = std::move(action);
+    disconnect_callback_ = std::move(callback);
 }
 
 }  // namespace caraway::http
--- a/src/libcaraway/http/message.hpp
+++ b/src/libcaraway/http/message.hpp
@@ -5,8 +5,8 @@
 
 #include <string_view>
 
-/// HTTP/1.1 towards callers, upstreams, the platform's store and peers alike: Boost.Asio's sockets
-/// and Boost.Beast's parser, on one thread.
+/// HTTP/1.1 with callers, upstreams, the platform's store and peers, on Boost.Asio sockets and the
+/// Boost.Beast parser. All of it runs on one thread.
 namespace caraway::http
 {
 
@@ -16,13 +16,13 @@
 using status = boost::beast::http::status;
 using verb = boost::beast::http::verb;
 
-/// Beast's own string view as the standard one.
+/// Converts Beast's string view to the standard one.
 inline std::string_view view(boost::beast::string_view text)
 {
     return {text.data(), text.size()};
 }
 
-/// A head of HTTP/1.1 with that status and no fields.
+/// Makes an HTTP/1.1 response head without fields.
 inline response_head make_response(status code)
 {
     response_head head;
--- a/src/libcaraway/http/owner_token.hpp
+++ b/src/libcaraway/http/owner_token.hpp
@@ -6,13 +6,13 @@
 namespace caraway::http
 {
 
-/// Keeps handlers from running once the object that began what they wait for is gone: one whose
-/// wait is over may stand in the event loop's queue already when its owner goes, and then can't be
-/// cancelled.
+/// Prevents asynchronous handlers from running after their owner was destroyed. A handler whose
+/// operation has completed may already be queued in the event loop at that point, where it can no
+/// longer be cancelled.
 class owner_token
 {
 public:
-    /// The handler, which does nothing once the owner is gone.
+    /// Wraps `handler` so that it does nothing once the owner of this token is destroyed.
     template <class Handler>
     auto guard(Handler handler) const
     {
--- a/src/libcaraway/http/read_scratch.hpp
+++ b/src/libcaraway/http/read_scratch.hpp
@@ -6,11 +6,11 @@
 namespace caraway::http
 {
 
-/// Where bytes are read before a parser takes them, shared by all connections of a thread. A buffer
-/// a connection cost 16 KB each: 25 MB of a VM with 860 connections, where 88 to 260 MB are all
-/// there is.
+/// Bytes in the read buffer shared by all connections of a thread. Separate buffers of 16 KB took
+/// 25 MB on a VM with 860 connections, and VMs have only 88 to 260 MB of memory.
 inline constexpr std::size_t read_scratch_size = 65536;
 
+/// Holds the bytes of one read until they are appended to the connection's parse buffer.
 inline std::array<char, read_scratch_size>& read_scratch()
 {
     thread_local std::array<char, read_scratch_size> scratch;
--- a/src/libcaraway/http/timer_queue.cpp
+++ b/src/libcaraway/http/timer_queue.cpp
@@ -10,26 +10,26 @@
 {
 }
 
-timer_queue::handle timer_queue::at(base::time_point when, action what)
+timer_queue::handle timer_queue::at(base::time_point deadline, action callback)
 {
-    const handle id{.at = when, .number = ++last_};
-    queue_.emplace(id, std::move(what));
-    if (!running_ && when < armed_for_)
+    const handle id{.at = deadline, .number = ++last_number_};
+    queue_.emplace(id, std::move(callback));
+    if (!running_ && deadline < armed_for_)
     {
         arm();
     }
     return id;
 }
 
-timer_queue::handle timer_queue::after(base::duration delay, action what)
+timer_queue::handle timer_queue::after(base::duration delay, action callback)
 {
-    return at(now() + delay, std::move(what));
+    return at(now() + delay, std::move(callback));
 }
 
-void timer_queue::cancel(handle& which)
+void timer_queue::cancel(handle& timer)
 {
-    queue_.erase(which);
-    which = {};
+    queue_.erase(timer);
+    timer = {};
 }
 
 void timer_queue::run_due()
@@ -37,9 +37,9 @@
     running_ = true;
     while (!queue_.empty() && queue_.begin()->first.at <= now())
     {
-        const auto what = std::move(queue_.begin()->second);
+        const auto callback = std::move(queue_.begin()->second);
         queue_.erase(queue_.begin());
-        what();
+        callback();
     }
     running_ = false;
     arm();
@@ -52,11 +52,11 @@
         armed_for_ = base::time_point::max();
         return;
     }
-    const auto next = queue_.begin()->first.at;
-    // Deadlines that were cancelled are left to fire early and find nothing: cheaper than to arm
-    // anew for each request.
-    armed_for_ = next;
-    timer_.expires_after(std::max(next - now(), base::duration::zero()));
+    const auto next_deadline = queue_.begin()->first.at;
+    // The timer is not re-armed when its deadline is cancelled: an occasional wake-up without work
+    // is cheaper than arming it for each request.
+    armed_for_ = next_deadline;
+    timer_.expires_after(std::max(next_deadline - now(), base::duration::zero()));
     timer_.async_wait(owner_.guard(
         [this](const boost::system::error_code& error)
         {
--- a/src/libcaraway/http/timer_queue.hpp
+++ b/src/libcaraway/http/timer_queue.hpp
@@ -12,14 +12,14 @@
 namespace caraway::http
 {
 
-/// All deadlines of a process on one timer of the event loop: a timer a request would be a wake-up
-/// a request, and most deadlines never come.
+/// Multiplexes all deadlines of a process onto one event-loop timer. One timer per request would
+/// mean one wake-up per request, although most deadlines are cancelled before they expire.
 class timer_queue
 {
 public:
     using action = std::function<void()>;
 
-    /// Names a deadline; a default one names none.
+    /// Identifies a scheduled action; a default-constructed handle identifies none.
     struct handle
     {
         base::time_point at{};
@@ -31,13 +31,13 @@
 
     timer_queue(boost::asio::io_context& loop, const base::clock& clock);
 
-    handle at(base::time_point when, action what);
-    handle after(base::duration delay, action what);
-    /// Nothing happens if it has run or names none.
-    void cancel(handle& which);
+    handle at(base::time_point deadline, action callback);
+    handle after(base::duration delay, action callback);
+    /// Removes the action, if it has not run yet, and resets `timer`.
+    void cancel(handle& timer);
 
-    /// Runs what is due. Called by its own timer, and by whoever notices that time has passed
-    /// uncounted: after a suspended VM wakes, the loop's timer is late by all the time it slept.
+    /// Runs all expired actions. Called by the event-loop timer, and by code that detects a
+    /// suspension of the VM: the timer does not count suspended time and would fire late by it.
     void run_due();
 
     base::time_point now() const
@@ -51,7 +51,7 @@
     const base::clock& clock_;
     boost::asio::steady_timer timer_;
     std::map<handle, action> queue_;
-    std::uint64_t last_ = 0;
+    std::uint64_t last_number_ = 0;
     base::time_point armed_for_ = base::time_point::max();
     bool running_ = false;
     owner_token owner_;
--- a/src/libcaraway/http/upstream_pool.cpp
+++ b/src/libcaraway/http/upstream_pool.cpp
@@ -14,7 +14,7 @@
 std::shared_ptr<client_connection> upstream_pool::acquire(const base::upstream_id& id)
 {
     auto& idle = idle_[id];
-    // The last one used is the least likely to be closed by the upstream just now.
+    // The most recently used connection is the least likely to be closed by the upstream.
     while (!idle.empty())
     {
         auto connection = std::move(idle.back());
@@ -70,14 +70,14 @@
                           return true;
                       });
     }
-    std::erase_if(idle_, [](const auto& each) { return each.second.empty(); });
+    std::erase_if(idle_, [](const auto& entry) { return entry.second.empty(); });
 }
 
 bool upstream_pool::is_fresh(const client_connection& connection) const
 {
-    const auto until =
+    const auto usable_until =
         connection.keep_alive_until().value_or(connection.idle_since() + options_.idle_lifetime);
-    return timers_.now() + options_.close_margin < until;
+    return timers_.now() + options_.close_margin < usable_until;
 }
 
 }  // namespace caraway::http
--- a/src/libcaraway/http/upstream_pool.hpp
+++ b/src/libcaraway/http/upstream_pool.hpp
@@ -10,18 +10,19 @@
 
 struct pool_options
 {
-    /// Idle connections kept to one upstream; more are closed, as all routers share what an
-    /// upstream accepts.
+    /// Idle connections kept per upstream; further ones are closed, as all routers share the
+    /// upstream's connection limit.
     std::size_t max_idle = 8;
-    /// How long an idle connection is kept where the upstream doesn't say.
+    /// How long an idle connection is kept if the upstream sends no Keep-Alive timeout.
     std::chrono::milliseconds idle_lifetime{8000};
-    /// A connection isn't used so shortly before the upstream may close it: a request that crosses
-    /// the close is lost.
+    /// A connection is not reused within this time before the upstream may close it: a request that
+    /// crosses the close is lost.
     std::chrono::milliseconds close_margin{400};
     connect_options connect{};
 };
 
-/// Kept connections by upstream; a new life of an upstream, at whatever address, gets new ones.
+/// Idle connections per upstream ID. A new incarnation of an upstream has a new ID and so gets new
+/// connections, whatever its address.
 class upstream_pool
 {
 public:
@@ -32,13 +33,15 @@
         options_.max_idle = count;
     }
 
+    /// Returns a reusable idle connection to the upstream, or a new one that is not connected yet.
     std::shared_ptr<client_connection> acquire(const base::upstream_id& id);
-    /// After a call that ended well; closed if it can't be used again.
+    /// Returns a connection after a successful call; closes it if it can't be reused.
     void release(const base::upstream_id& id, std::shared_ptr<client_connection> connection);
     void close_all(const base::upstream_id& id);
-    /// Closes what has been idle for too long.
+    /// Closes connections that are expired or no longer reusable.
     void sweep();
 
+    /// Connections created since the process started.
     std::uint64_t opened() const
     {
         return opened_;
