--- a/src/libcaraway/http/buffered_call.cpp
+++ b/src/libcaraway/http/buffered_call.cpp
@@ -12,7 +12,7 @@
 
 namespace beast_http = boost::beast::http;
 
-/// Bytes; the store's answers have at most 1 MB. Body bytes beyond this are discarded.
+/// Bytes; the store's answers have at most 1 MB. Body parts that would exceed this are discarded.
 constexpr std::size_t max_body_bytes = 8U << 20U;
 
 }  // namespace
@@ -50,9 +50,8 @@
         [this]
         {
             connection_->close();
-            finish(base::make_error(
-                base::errc::unknown_effect,
-                "no complete answer within the time-out; the request may have taken effect"));
+            finish(base::make_error(base::errc::unknown_effect,
+                                    "No complete answer was received within the time-out."));
         });
     connection_->call(
         to, std::move(request), false,
@@ -71,8 +70,8 @@
          {
              const auto code = failure == call_failure::not_connected ? base::errc::unavailable
                                                                       : base::errc::unknown_effect;
-             finish(
-                 base::make_error(code, "connection failed before a complete answer was received"));
+             finish(base::make_error(
+                 code, "The connection failed before a complete answer was received."));
          }});
 }
 
--- a/src/libcaraway/http/exchange.cpp
+++ b/src/libcaraway/http/exchange.cpp
@@ -35,7 +35,7 @@
     {
         connection_->send(body);
     }
-    connection_->answer_ended(true);
+    connection_->on_answer_ended(true);
 }
 
 void exchange::begin(response_head head)
@@ -86,7 +86,7 @@
         connection_->send(buffers_to_string(boost::beast::http::make_chunk_last()));
     }
     // Without chunked encoding, only closing the connection marks the end of the answer.
-    connection_->answer_ended(chunked_);
+    connection_->on_answer_ended(chunked_);
 }
 
 void exchange::abort()
@@ -105,7 +105,7 @@
     else
     {
         // Pending output is still sent; without the last chunk the answer is visibly incomplete.
-        connection_->answer_ended(false);
+        connection_->on_answer_ended(false);
         return;
     }
     connection_->close();
--- a/src/libcaraway/http/listener.cpp
+++ b/src/libcaraway/http/listener.cpp
@@ -10,12 +10,13 @@
 
 using boost::asio::ip::tcp;
 
-/// Idle connections closed, the oldest first, when a new one finds no room.
-constexpr std::size_t closed_at_a_time = 32;
-/// Connections taken in one turn of the event loop, so that those that are open get theirs.
-constexpr std::size_t accepted_at_a_time = 64;
-/// Closed connections that may still be listed; they are a pointer each.
-constexpr std::size_t slack_of_dead = 64;
+/// Idle connections closed, oldest first, when a new connection would exceed the limit.
+constexpr std::size_t max_idle_closed = 32;
+/// Connections accepted per event-loop iteration, bounded so that open connections are still
+/// served.
+constexpr std::size_t max_accepts_per_iteration = 64;
+/// Expired entries tolerated in the list of connections; each costs one pointer.
+constexpr std::size_t max_expired_entries = 64;
 
 }  // namespace
 
@@ -29,9 +30,9 @@
 
 listener::~listener()
 {
-    for (const auto& each : connections_)
+    for (const auto& entry : connections_)
     {
-        if (const auto connection = each.lock())
+        if (const auto connection = entry.lock())
         {
             connection->close();
         }
@@ -45,11 +46,11 @@
     if (error)
     {
         return base::make_error(base::errc::invalid_argument,
-                                "\"" + address.ip + "\" is no address to listen at.");
+                                "\"" + address.ip + "\" is not an IP address to listen on.");
     }
     address_ = tcp::endpoint(ip, address.port);
     BOOST_OUTCOME_TRY(listen());
-    // Port 0 became the one that it got, which it has to get again after a pause.
+    // Replaces port 0 by the assigned port, so that `resume` binds the same port again.
     address_ = acceptor_.local_endpoint(error);
     return base::success();
 }
@@ -70,7 +71,7 @@
         boost::system::error_code ignored;
         acceptor_.close(ignored);
         return base::make_error(base::errc::unavailable,
-                                "Can't listen at " + address_.address().to_string() + ":" +
+                                "Can't listen on " + address_.address().to_string() + ":" +
                                     std::to_string(address_.port()) + ": " + error.message() + ".");
     }
     accept();
@@ -84,10 +85,10 @@
 
 void listener::close_idle()
 {
-    drop_dead();
-    for (const auto& each : connections_)
+    erase_expired();
+    for (const auto& entry : connections_)
     {
-        if (const auto connection = each.lock())
+        if (const auto connection = entry.lock())
         {
             connection->close_if_idle();
         }
@@ -115,17 +116,17 @@
     {
         return;
     }
-    // Another process may have taken the port; the next tick tries again.
+    // Another process may have bound the port meanwhile; the next call tries again.
     refusing_ = !listen();
 }
 
 std::size_t listener::active_requests()
 {
     std::size_t count = 0;
-    for (const auto& each : connections_)
+    for (const auto& entry : connections_)
     {
-        const auto connection = each.lock();
-        count += connection && connection->is_answering() ? 1 : 0;
+        const auto connection = entry.lock();
+        count += connection && connection->is_request_active() ? 1 : 0;
     }
     return count;
 }
@@ -135,7 +136,7 @@
     acceptor_.async_accept(owner_.guard(
         [this](const boost::system::error_code& error, tcp::socket socket)
         {
-            // Closed meanwhile, and perhaps open again: then others wait for its connections.
+            // The acceptor was closed; if it was reopened since, `listen` started another accept.
             if (error == boost::asio::error::operation_aborted || !acceptor_.is_open())
             {
                 return;
@@ -145,8 +146,8 @@
                 refuse();
                 return;
             }
-            take(std::move(socket));
-            accept_waiting();
+            add_connection(std::move(socket));
+            accept_pending();
             if (!refusing_)
             {
                 accept();
@@ -154,13 +155,14 @@
         }));
 }
 
-/// The event loop hands out one connection a turn, and a busy turn takes some milliseconds: at 500
-/// connections a second callers waited in the queue of the listening socket for more than a second
-/// and left, while the process had time for them.
-void listener::accept_waiting()
+/// Accepts the connections pending in the backlog of the listening socket. The event loop delivers
+/// one connection per iteration, and an iteration under load takes some milliseconds: at 500
+/// connections per second callers waited in the backlog for more than a second and gave up,
+/// although the process had capacity for them.
+void listener::accept_pending()
 {
     boost::system::error_code error;
-    for (std::size_t count = 0; count < accepted_at_a_time && !refusing_; ++count)
+    for (std::size_t count = 0; count < max_accepts_per_iteration && !refusing_; ++count)
     {
         tcp::socket socket(acceptor_.get_executor());
         acceptor_.accept(socket, error);
@@ -168,57 +170,57 @@
         {
             return;
         }
-        take(std::move(socket));
+        add_connection(std::move(socket));
     }
 }
 
-void listener::set_admission(std::function<bool()> on_taken)
+void listener::set_admission(std::function<bool()> admits_more)
 {
-    on_taken_ = std::move(on_taken);
+    admits_more_ = std::move(admits_more);
 }
 
-void listener::take(tcp::socket socket)
+void listener::add_connection(tcp::socket socket)
 {
-    if (*open_ >= max_connections_)
+    if (*open_count_ >= max_connections_)
     {
-        make_room();
+        close_oldest_idle();
     }
-    if (connections_.size() > 2 * *open_ + slack_of_dead)
+    if (connections_.size() > 2 * *open_count_ + max_expired_entries)
     {
-        drop_dead();
+        erase_expired();
     }
-    if (*open_ >= max_connections_)
+    if (*open_count_ >= max_connections_)
     {
         refuse();
         return;
     }
     const auto connection = std::make_shared<server_connection>(std::move(socket), timers_, limits_,
-                                                                on_request_, open_);
+                                                                on_request_, open_count_);
     connections_.push_back(connection);
     connection->start();
-    if (on_taken_ && !on_taken_())
+    if (admits_more_ && !admits_more_())
     {
         refuse();
     }
 }
 
-void listener::make_room()
+void listener::close_oldest_idle()
 {
     std::size_t closed = 0;
-    for (const auto& each : connections_)
+    for (const auto& entry : connections_)
     {
-        const auto connection = each.lock();
+        const auto connection = entry.lock();
         closed += connection && connection->close_if_idle() ? 1 : 0;
-        if (closed >= closed_at_a_time)
+        if (closed >= max_idle_closed)
         {
             break;
         }
     }
 }
 
-void listener::drop_dead()
+void listener::erase_expired()
 {
-    std::erase_if(connections_, [](const auto& each) { return each.expired(); });
+    std::erase_if(connections_, [](const auto& entry) { return entry.expired(); });
 }
 
 }  // namespace caraway::http
--- a/src/libcaraway/http/listener.hpp
+++ b/src/libcaraway/http/listener.hpp
@@ -13,7 +13,7 @@
 namespace caraway::http
 {
 
-/// Accepts connections at one address and hands out their requests.
+/// Accepts connections at one address and passes their requests to a handler.
 class listener
 {
 public:
@@ -21,69 +21,75 @@
              server_connection::limits_source limits, server_connection::handler on_request,
              std::size_t max_connections);
 
-    /// Its connections end with it.
+    /// Closes all connections of the listener.
     ~listener();
 
-    /// Errors: the address is taken or isn't this machine's.
+    /// Starts listening; port 0 selects a free port. Errors: errc::invalid_argument if the address
+    /// is no IP address; errc::unavailable if the address is in use or isn't assigned to this
+    /// machine.
     base::result<void> open(const routing::endpoint& address);
+    /// The port in use, also if `open` was called with port 0.
     std::uint16_t port() const;
 
-    /// Called for each connection that was taken; false: no more until `resume`.
-    void set_admission(std::function<bool()> on_taken);
-    /// Listens again, if new connections are being refused. For a regular tick.
+    /// Sets a predicate called after each accepted connection. If it returns false, the listener
+    /// refuses connections until `resume`.
+    void set_admission(std::function<bool()> admits_more);
+    /// Listens again if connections are being refused. Called periodically.
     void resume();
-    /// New connections are being refused.
+    /// Whether new connections are being refused.
     bool refusing() const
     {
         return refusing_;
     }
-    /// How often it began to refuse, ever.
+    /// How often the listener started to refuse connections since the process started.
     std::uint64_t refusals() const
     {
         return refusals_;
     }
 
-    /// Closes connections between requests; those that are in use close after their answer.
+    /// Closes connections that are between requests. Busy connections close after their answer if
+    /// `server_limits::closing` is set.
     void close_idle();
+    /// Stops listening for good; open connections stay.
     void close();
 
     std::size_t connections() const
     {
-        return *open_;
+        return *open_count_;
     }
-    /// Of the connections that it may have, the part that it has.
+    /// Open connections as a fraction of the maximum.
     double used_fraction() const
     {
-        return static_cast<double>(*open_) / static_cast<double>(max_connections_);
+        return static_cast<double>(*open_count_) / static_cast<double>(max_connections_);
     }
-    /// Requests that are being answered.
+    /// Number of connections whose request or answer is in progress.
     std::size_t active_requests();
 
 private:
     base::result<void> listen();
     void accept();
-    void accept_waiting();
-    /// Closes the listening socket until `resume`: the system then refuses callers at once, who go
-    /// elsewhere. To accept and close each took the whole processor of a small VM in a flood, and
-    /// callers came back to the address that had accepted them. The same where descriptors have run
-    /// out: trying on at once would take the processor too.
+    void accept_pending();
+    /// Closes the listening socket until `resume`. The kernel then refuses callers immediately, and
+    /// they try another router. Accepting and closing each connection used the whole processor of a
+    /// small VM under overload, and callers retried the address that had accepted them. Also used
+    /// when file descriptors are exhausted, where retrying immediately would busy-loop.
     void refuse();
-    void take(boost::asio::ip::tcp::socket socket);
-    void drop_dead();
-    void make_room();
+    void add_connection(boost::asio::ip::tcp::socket socket);
+    void erase_expired();
+    void close_oldest_idle();
 
     timer_queue& timers_;
     server_connection::limits_source limits_;
     server_connection::handler on_request_;
     std::size_t max_connections_;
-    std::function<bool()> on_taken_;
+    std::function<bool()> admits_more_;
     std::uint64_t refusals_ = 0;
     bool refusing_ = false;
     boost::asio::ip::tcp::endpoint address_;
     boost::asio::ip::tcp::acceptor acceptor_;
-    /// In the order in which they were opened.
+    /// In the order of acceptance; may contain expired entries.
     std::vector<std::weak_ptr<server_connection>> connections_;
-    std::shared_ptr<std::size_t> open_ = std::make_shared<std::size_t>(0);
+    std::shared_ptr<std::size_t> open_count_ = std::make_shared<std::size_t>(0);
     owner_token owner_;
 };
 
--- a/src/libcaraway/http/server_connection.cpp
+++ b/src/libcaraway/http/server_connection.cpp
@@ -19,28 +19,29 @@
 
 namespace beast_http = boost::beast::http;
 
-/// Bytes of later requests that are read while one is answered; reading goes on only to notice
-/// that the caller leaves.
-constexpr std::size_t max_read_ahead = 65536;
-/// Beyond the time that callers are told: a request sent in the last moment still arrives.
-constexpr std::chrono::milliseconds keep_margin{500};
-/// How long a connection that is to close may stay open for bytes under way: closing at once would
-/// reset it and could destroy the answer before the caller has read it.
+/// Bytes of pipelined requests read while a request is answered. Reading continues then only to
+/// detect that the caller closes the connection.
+constexpr std::size_t max_read_ahead_bytes = 65536;
+/// Added to the announced keep-alive time, so that a request sent just before its end is still
+/// served.
+constexpr std::chrono::milliseconds keep_alive_margin{500};
+/// How long a connection stays open after its last answer for bytes in flight. Closing immediately
+/// could reset the connection and destroy the answer before the caller has read it.
 constexpr std::chrono::milliseconds drain_time{1000};
 
-std::size_t count_of(const request_head& head, field name)
+std::size_t count_fields(const request_head& head, field name)
 {
     const auto [first, last] = head.equal_range(name);
     return static_cast<std::size_t>(std::distance(first, last));
 }
 
-/// Framing that two readers could understand differently is refused: it is how one request is
-/// hidden inside another.
-bool has_clear_framing(const request_head& head)
+/// Whether the message framing is unambiguous. Framing that two parsers may interpret differently
+/// allows request smuggling.
+bool has_unambiguous_framing(const request_head& head)
 {
-    const auto encodings = count_of(head, field::transfer_encoding);
-    const auto lengths = count_of(head, field::content_length);
-    if (lengths > 1 || encodings > 1 || (lengths > 0 && encodings > 0))
+    const auto encodings = count_fields(head, field::transfer_encoding);
+    const auto length_fields = count_fields(head, field::content_length);
+    if (length_fields > 1 || encodings > 1 || (length_fields > 0 && encodings > 0))
     {
         return false;
     }
@@ -59,11 +60,11 @@
 
 bool has_one_host(const request_head& head)
 {
-    const auto hosts = count_of(head, field::host);
+    const auto hosts = count_fields(head, field::host);
     return hosts == 1 || (hosts == 0 && head.version() < 11);
 }
 
-status status_of(const boost::system::error_code& error)
+status rejection_status(const boost::system::error_code& error)
 {
     if (error == beast_http::error::header_limit)
     {
@@ -105,7 +106,7 @@
 
 bool server_connection::close_if_idle()
 {
-    const bool idle = !current_ && buffer_.empty() && !parser_->got_some() && !writing_;
+    const bool idle = !current_ && buffer_.empty() && !parser_->got_some() && !write_pending_;
     if (idle)
     {
         close();
@@ -123,24 +124,24 @@
     head_.reset();
     const bool first = !answered_;
     set_deadline(first ? limits_.idle_timeout
-                       : std::min<std::chrono::milliseconds>(limits_.idle_timeout,
-                                                             limits_.keep_alive + keep_margin));
+                       : std::min<std::chrono::milliseconds>(
+                             limits_.idle_timeout, limits_.keep_alive + keep_alive_margin));
 }
 
 void server_connection::read()
 {
-    if (reading_ || closed_ || buffer_.size() >= max_read_ahead + limits_.header_bytes)
+    if (read_pending_ || closed_ || buffer_.size() >= max_read_ahead_bytes + limits_.header_bytes)
     {
         return;
     }
-    reading_ = true;
+    read_pending_ = true;
     socket_.async_wait(socket_type::wait_read, [self = shared_from_this()](const auto& error)
                        { self->on_readable(error); });
 }
 
 void server_connection::on_readable(const boost::system::error_code& error)
 {
-    reading_ = false;
+    read_pending_ = false;
     if (closed_)
     {
         return;
@@ -156,7 +157,7 @@
         on_peer_closed();
         return;
     }
-    if (!ending_)
+    if (!closing_)
     {
         buffer_.append(read_scratch().data(), bytes);
     }
@@ -172,26 +173,26 @@
     parse_buffer();
     if (buffer_.empty())
     {
-        // An idle connection holds no memory for what it once read.
+        // Frees the capacity, so that idle connections hold no buffer memory.
         std::string().swap(buffer_);
     }
 }
 
 void server_connection::parse_buffer()
 {
-    while (buffer_.size() > 0 && !current_ && !ending_ && !closed_)
+    while (buffer_.size() > 0 && !current_ && !closing_ && !closed_)
     {
         if (!parser_->got_some())
         {
-            first_byte_ = timers_.now();
+            first_byte_time_ = timers_.now();
             set_deadline(limits_.header_timeout);
         }
         boost::system::error_code error;
-        const auto used = parser_->put(boost::asio::buffer(buffer_), error);
-        buffer_.erase(0, used);
+        const auto bytes_parsed = parser_->put(boost::asio::buffer(buffer_), error);
+        buffer_.erase(0, bytes_parsed);
         if (error == beast_http::error::need_more)
         {
-            if (used == 0)
+            if (bytes_parsed == 0)
             {
                 return;
             }
@@ -199,26 +200,26 @@
         }
         if (error)
         {
-            reject(status_of(error));
+            reject(rejection_status(error));
             return;
         }
         if (parser_->is_header_done() && !head_)
         {
             on_head();
         }
-        if (!ending_ && !closed_ && parser_->is_done())
+        if (!closing_ && !closed_ && parser_->is_done())
         {
-            on_whole();
+            on_request_complete();
         }
     }
 }
 
 void server_connection::on_head()
 {
-    // Kept as it is now: the parser would add the fields that follow a chunked body, and a caller
-    // could use them to claim what its head did not.
+    // Copied before the body is parsed: the parser adds the trailer fields of a chunked body to the
+    // head, and a caller could use them to override fields of the head.
     head_ = parser_->get().base();
-    if (!has_clear_framing(*head_) || !has_one_host(*head_))
+    if (!has_unambiguous_framing(*head_) || !has_one_host(*head_))
     {
         reject(status::bad_request);
         return;
@@ -234,23 +235,23 @@
     }
 }
 
-void server_connection::on_whole()
+void server_connection::on_request_complete()
 {
     timers_.cancel(deadline_);
-    keep_ = parser_->keep_alive();
+    keep_alive_ = parser_->keep_alive();
     current_ = std::make_shared<exchange>(shared_from_this(), std::move(*head_),
-                                          std::move(parser_->get().body()), first_byte_);
+                                          std::move(parser_->get().body()), first_byte_time_);
     head_.reset();
     on_request_(current_);
 }
 
 void server_connection::reject(status code)
 {
-    keep_ = false;
+    keep_alive_ = false;
     auto head = make_response(code);
     head.set(field::content_length, "0");
     send_head(head);
-    answer_ended(false);
+    on_answer_ended(false);
 }
 
 void server_connection::set_deadline(std::chrono::milliseconds delay)
@@ -268,7 +269,7 @@
 
 void server_connection::on_deadline()
 {
-    if (ending_ || !parser_->got_some())
+    if (closing_ || !parser_->got_some())
     {
         close();
         return;
@@ -278,14 +279,14 @@
 
 void server_connection::on_peer_closed()
 {
-    const auto answering = current_;
+    const auto request = current_;
     close();
-    if (answering && !answering->ended_)
+    if (request && !request->ended_)
     {
-        answering->ended_ = true;
-        if (const auto gone = std::move(answering->gone_))
+        request->ended_ = true;
+        if (const auto callback = std::move(request->disconnect_callback_))
         {
-            gone();
+            callback();
         }
     }
 }
@@ -295,12 +296,13 @@
     limits_ = limits_source_();
     if (limits_.closing)
     {
-        keep_ = false;
+        keep_alive_ = false;
     }
-    if (keep_)
+    if (keep_alive_)
     {
-        const auto longest = std::chrono::duration_cast<std::chrono::seconds>(limits_.idle_timeout);
-        const auto seconds = std::min(longest, limits_.keep_alive).count();
+        const auto max_idle =
+            std::chrono::duration_cast<std::chrono::seconds>(limits_.idle_timeout);
+        const auto seconds = std::min(max_idle, limits_.keep_alive).count();
         head.set(field::keep_alive, "timeout=" + std::to_string(seconds));
     }
     else
@@ -312,45 +314,45 @@
     serializer.split(true);
     boost::system::error_code error;
     serializer.next(error, [this](const auto&, const auto& buffers)
-                    { out_ += boost::beast::buffers_to_string(buffers); });
+                    { pending_output_ += boost::beast::buffers_to_string(buffers); });
 }
 
 void server_connection::send(std::string_view bytes)
 {
     if (!closed_)
     {
-        out_ += bytes;
+        pending_output_ += bytes;
     }
 }
 
 void server_connection::flush()
 {
-    if (writing_ || out_.empty() || closed_)
+    if (write_pending_ || pending_output_.empty() || closed_)
     {
         return;
     }
-    writing_ = true;
-    sending_.swap(out_);
-    out_.clear();
-    boost::asio::async_write(socket_, boost::asio::buffer(sending_),
+    write_pending_ = true;
+    write_buffer_.swap(pending_output_);
+    pending_output_.clear();
+    boost::asio::async_write(socket_, boost::asio::buffer(write_buffer_),
                              [self = shared_from_this()](const auto& error, std::size_t)
                              {
-                                 self->writing_ = false;
-                                 self->sending_.clear();
+                                 self->write_pending_ = false;
+                                 self->write_buffer_.clear();
                                  if (error)
                                  {
                                      self->on_peer_closed();
                                      return;
                                  }
                                  self->flush();
-                                 if (self->ending_ && !self->writing_)
+                                 if (self->closing_ && !self->write_pending_)
                                  {
-                                     self->end_writing();
+                                     self->shut_down_sending();
                                  }
                              });
 }
 
-void server_connection::answer_ended(bool keep)
+void server_connection::on_answer_ended(bool keep)
 {
     current_.reset();
     answered_ = true;
@@ -358,7 +360,7 @@
     {
         return;
     }
-    if (keep && keep_)
+    if (keep && keep_alive_)
     {
         flush();
         begin_request();
@@ -366,18 +368,18 @@
         read();
         return;
     }
-    ending_ = true;
+    closing_ = true;
     set_deadline(drain_time);
-    if (out_.empty() && !writing_)
+    if (pending_output_.empty() && !write_pending_)
     {
-        end_writing();
+        shut_down_sending();
         return;
     }
     flush();
     read();
 }
 
-void server_connection::end_writing()
+void server_connection::shut_down_sending()
 {
     boost::system::error_code ignored;
     socket_.shutdown(socket_type::shutdown_send, ignored);
--- a/src/libcaraway/http/server_connection.hpp
+++ b/src/libcaraway/http/server_connection.hpp
@@ -16,23 +16,23 @@
 
 class server_connection;
 
-/// What a listener's connections keep to; read anew for each request, so that changes apply to
-/// connections that are open.
+/// Limits of a listener's connections. Read again for each request, so that changes also apply to
+/// open connections.
 struct server_limits
 {
     std::size_t header_bytes = 16384;
     std::size_t body_bytes = 4194304;
     std::chrono::milliseconds header_timeout{5000};
     std::chrono::milliseconds idle_timeout{15000};
-    /// How long a connection is kept between requests, as callers are told; no longer than
-    /// `idle_timeout`.
+    /// How long a connection is kept between requests, as announced to callers in the Keep-Alive
+    /// field; `idle_timeout` is the upper bound.
     std::chrono::seconds keep_alive{15};
-    /// Answers say that the connection closes after them.
+    /// Whether connections are closed after the current answer, with `Connection: close` in it.
     bool closing = false;
 };
 
-/// One request and the answer to it. The answer is whole or the connection ends: `finish` is the
-/// only way to complete one that was begun.
+/// A request and the answer to it. An answer started with `begin` is completed only by `finish`;
+/// otherwise the connection is closed. Calls after the end of the answer have no effect.
 class exchange
 {
 public:
@@ -47,46 +47,48 @@
     {
         return body_;
     }
-    /// When its first byte was read.
+    /// When the first byte of the request was read.
     base::time_point arrived() const
     {
         return arrived_;
     }
 
-    /// A whole answer.
+    /// Sends a complete answer with a Content-Length.
     void respond(response_head head, std::string_view body);
-    /// Begins an answer of unknown length.
+    /// Starts an answer of unknown length: chunked, or for HTTP/1.0 callers ended by closing the
+    /// connection.
     void begin(response_head head);
-    void write(std::string_view part);
+    void write(std::string_view chunk);
     void finish();
-    /// Ends the connection so that what was sent doesn't look complete.
+    /// Closes the connection in a way that lets the caller detect the incomplete answer.
     void abort();
 
-    /// Looks whether the caller has closed its connection though that wasn't read yet; one more
-    /// call to the system, for routers that read late.
+    /// Whether the caller has closed the connection, even if the close has not been processed yet.
+    /// Costs one system call; for overloaded routers, which read late.
     bool caller_disconnected() const;
-    /// Called once if the caller closes its connection before the answer is complete.
-    void on_disconnect(std::function<void()> action);
+    /// Sets the callback for a connection closed by the caller before the answer is complete. It is
+    /// called at most once.
+    void on_disconnect(std::function<void()> callback);
 
 private:
     friend class server_connection;
 
-    void set_ended();
+    void mark_ended();
 
     std::shared_ptr<server_connection> connection_;
     request_head head_;
     std::string body_;
     base::time_point arrived_;
-    std::function<void()> gone_;
+    std::function<void()> disconnect_callback_;
     bool chunked_ = false;
     bool begun_ = false;
     bool ended_ = false;
 };
 
-/// One connection of a caller. Timers find it by a weak reference, as the last owner may be a
-/// handler that the event loop drops after the timers are gone. It reads requests one after the
-/// other, the next only when the last is answered, so that pipelined requests can't mix their
-/// answers.
+/// A connection of a caller. Processes one request at a time and starts the next only after the
+/// answer to the previous one, so that answers to pipelined requests can't be mixed. Timers hold a
+/// weak reference, as the last owner may be a handler that the event loop destroys after the timer
+/// queue.
 class server_connection : public std::enable_shared_from_this<server_connection>
 {
 public:
@@ -94,21 +96,22 @@
     using handler = std::function<void(const std::shared_ptr<exchange>&)>;
     using limits_source = std::function<server_limits()>;
 
-    /// `open` counts the connections of a listener that aren't closed.
+    /// `open` is the listener's shared count of open connections. `on_request` is called with each
+    /// complete request.
     server_connection(socket_type socket, timer_queue& timers, limits_source limits,
                       handler on_request, std::shared_ptr<std::size_t> open);
     ~server_connection();
 
     void start();
-    /// Closes it unless a request is being read or answered; whether it did.
+    /// Closes the connection unless a request is being read or answered. Returns whether it closed.
     bool close_if_idle();
-    /// At once, whatever is under way; nothing is handed out or sent any more.
+    /// Closes the connection immediately. No request is delivered and no byte sent afterwards.
     void close();
-    /// Until the last byte of an answer is with the machine's network: a process that ends before
-    /// cuts an answer that was whole.
-    bool is_answering() const
+    /// Whether a request is in progress or its answer has not been completely passed to the kernel.
+    /// A process that exits before then truncates the answer.
+    bool is_request_active() const
     {
-        return !closed_ && (current_ != nullptr || writing_ || !out_.empty());
+        return !closed_ && (current_ != nullptr || write_pending_ || !pending_output_.empty());
     }
 
 private:
@@ -121,7 +124,7 @@
     void parse();
     void parse_buffer();
     void on_head();
-    void on_whole();
+    void on_request_complete();
     void reject(status code);
     void set_deadline(std::chrono::milliseconds delay);
     void on_deadline();
@@ -130,8 +133,8 @@
     void send_head(response_head& head);
     void send(std::string_view bytes);
     void flush();
-    void answer_ended(bool keep);
-    void end_writing();
+    void on_answer_ended(bool keep);
+    void shut_down_sending();
 
     socket_type socket_;
     timer_queue& timers_;
@@ -139,20 +142,20 @@
     server_limits limits_;
     handler on_request_;
     std::shared_ptr<std::size_t> open_;
-    /// Read and not yet parsed.
+    /// Received bytes that have not been parsed.
     std::string buffer_;
     std::optional<parser_type> parser_;
     std::optional<request_head> head_;
     std::shared_ptr<exchange> current_;
-    std::string out_;
-    std::string sending_;
+    std::string pending_output_;
+    std::string write_buffer_;
     timer_queue::handle deadline_;
-    base::time_point first_byte_{};
-    bool reading_ = false;
-    bool writing_ = false;
-    bool keep_ = true;
+    base::time_point first_byte_time_{};
+    bool read_pending_ = false;
+    bool write_pending_ = false;
+    bool keep_alive_ = true;
     bool answered_ = false;
-    bool ending_ = false;
+    bool closing_ = false;
     bool closed_ = false;
 };
 
