--- a/src/libcaraway/http/client_connection.hpp
+++ b/src/libcaraway/http/client_connection.hpp
@@ -18,9 +18,9 @@
 /// Why a call did not get a complete answer.
 enum class call_failure
 {
-    not_connected,  ///< No byte of the request was sent.
-    no_answer,      ///< The request was sent at least in part; no response head arrived.
-    cut_answer,     ///< The response head arrived, the rest did not.
+    not_connected,     ///< No byte of the request was sent.
+    no_answer,         ///< The request was sent at least in part; no response head arrived.
+    truncated_answer,  ///< The response head arrived, the rest did not.
 };
 
 /// Callbacks of a call. `head` is called once, then `body` any number of times, then `end`.
--- a/src/libcaraway/http/server_connection.cpp
+++ b/src/libcaraway/http/server_connection.cpp
@@ -22,8 +22,7 @@
 /// Bytes of pipelined requests read while a request is answered. Reading continues then only to
 /// detect that the caller closes the connection.
 constexpr std::size_t max_read_ahead_bytes = 65536;
-/// Added to the announced keep-alive time, so that a request sent just before its end is still
-/// served.
+/// Added to the announced keep-alive time, so that requests sent just before its end still arrive.
 constexpr std::chrono::milliseconds keep_alive_margin{500};
 /// How long a connection stays open after its last answer for bytes in flight. Closing immediately
 /// could reset the connection and destroy the answer before the caller has read it.
@@ -300,9 +299,8 @@
     }
     if (keep_alive_)
     {
-        const auto max_idle =
-            std::chrono::duration_cast<std::chrono::seconds>(limits_.idle_timeout);
-        const auto seconds = std::min(max_idle, limits_.keep_alive).count();
+        const auto limit = std::chrono::duration_cast<std::chrono::seconds>(limits_.idle_timeout);
+        const auto seconds = std::min(limit, limits_.keep_alive).count();
         head.set(field::keep_alive, "timeout=" + std::to_string(seconds));
     }
     else
