--- a/src/libcaraway/http/buffered_call.cpp
+++ b/src/libcaraway/http/buffered_call.cpp
@@ -71,7 +71,7 @@
              const auto code = failure == call_failure::not_connected ? base::errc::unavailable
                                                                       : base::errc::unknown_effect;
              finish(base::make_error(
-                 code, "The connection failed before a complete answer was received."));
+                 code, "The connection ended before a complete answer was received."));
          }});
 }
 
--- a/src/libcaraway/http/listener.cpp
+++ b/src/libcaraway/http/listener.cpp
@@ -46,7 +46,7 @@
     if (error)
     {
         return base::make_error(base::errc::invalid_argument,
-                                "\"" + address.ip + "\" is not an IP address to listen on.");
+                                "\"" + address.ip + "\" is not an IP address to listen at.");
     }
     address_ = tcp::endpoint(ip, address.port);
     BOOST_OUTCOME_TRY(listen());
@@ -71,7 +71,7 @@
         boost::system::error_code ignored;
         acceptor_.close(ignored);
         return base::make_error(base::errc::unavailable,
-                                "Can't listen on " + address_.address().to_string() + ":" +
+                                "Can't listen at " + address_.address().to_string() + ":" +
                                     std::to_string(address_.port()) + ": " + error.message() + ".");
     }
     accept();
--- a/src/libcaraway/http/listener.hpp
+++ b/src/libcaraway/http/listener.hpp
@@ -41,7 +41,7 @@
     {
         return refusing_;
     }
-    /// How often the listener started to refuse connections since the process started.
+    /// How often the listener started to refuse connections since its creation.
     std::uint64_t refusals() const
     {
         return refusals_;
--- a/src/libcaraway/http/upstream_pool.hpp
+++ b/src/libcaraway/http/upstream_pool.hpp
@@ -41,7 +41,7 @@
     /// Closes connections that are expired or no longer reusable.
     void sweep();
 
-    /// Connections created since the process started.
+    /// Connections created by this pool.
     std::uint64_t opened() const
     {
         return opened_;
