--- a/src/carawayd/control/once_service.cpp
+++ b/src/carawayd/control/once_service.cpp
@@ -142,7 +142,7 @@
     const auto pause =
         found == nullptr
             ? std::chrono::milliseconds(0)
-            : std::chrono::ceil<std::chrono::milliseconds>(found->coordinator->pause());
+            : std::chrono::ceil<std::chrono::milliseconds>(found->coordinator->backoff());
     if (pause.count() == 0)
     {
         carry_out(number, step);
--- a/src/carawayd/traffic/session.cpp
+++ b/src/carawayd/traffic/session.cpp
@@ -178,7 +178,7 @@
     {
         // The caller left while the grant was on its way: give the slot back unused.
         services_.control.attempt_ended({.request = number_, .result = attempt_result::cancelled});
-        finish(record_.overall());
+        finish(record_.overall_outcome());
         return;
     }
     state_ = state::attempting;
@@ -300,7 +300,7 @@
         return;
     case state::queued:
         services_.control.cancel(number_);
-        finish(record_.overall());
+        finish(record_.overall_outcome());
         return;
     case state::attempting:
         if (!must_run_to_the_end())
@@ -353,7 +353,7 @@
 {
     if (end.whole && relay_.whole())
     {
-        return caraway::attempts::end_with_answer(static_cast<std::uint16_t>(end.status),
+        return caraway::attempts::classify_answer(static_cast<std::uint16_t>(end.status),
                                                   plan_.service.not_started_statuses);
     }
     if (!end.whole && end.sent == caraway::net::delivery::nothing_sent)
@@ -419,7 +419,7 @@
     if (std::holds_alternative<caraway::attempts::deliver>(decision))
     {
         relay_.deliver();
-        finish(record_.overall());
+        finish(record_.overall_outcome());
         return;
     }
     if (const auto* answer = std::get_if<caraway::attempts::final_answer>(&decision))
@@ -435,7 +435,7 @@
     }
     services_.journal.record(id_, journal_part, "caller's connection broken off");
     relay_.break_off();
-    finish(record_.overall());
+    finish(record_.overall_outcome());
 }
 
 void session::finish(outcome result)
--- a/src/libcaraway/attempts/attempt_record.cpp
+++ b/src/libcaraway/attempts/attempt_record.cpp
@@ -7,7 +7,7 @@
 namespace caraway::attempts
 {
 
-attempt_end end_with_answer(std::uint16_t status,
+attempt_end classify_answer(std::uint16_t status,
                             const std::vector<std::uint16_t>& not_started_statuses)
 {
     const bool not_started = std::find(not_started_statuses.begin(), not_started_statuses.end(),
@@ -70,7 +70,7 @@
     return true;
 }
 
-outcome attempt_record::overall() const
+outcome attempt_record::overall_outcome() const
 {
     if (!attempts_.empty() && !attempts_.back().end)
     {
--- a/src/libcaraway/attempts/attempt_record.hpp
+++ b/src/libcaraway/attempts/attempt_record.hpp
@@ -34,7 +34,7 @@
 
 /// The end of an attempt that got a whole answer: not_started when the status is among those by
 /// which the service says that it has not begun the call (service::not_started_statuses).
-attempt_end end_with_answer(std::uint16_t status,
+attempt_end classify_answer(std::uint16_t status,
                             const std::vector<std::uint16_t>& not_started_statuses);
 
 /// What one attempt's end says of the request. Once bytes of an answer went to the caller,
@@ -66,7 +66,7 @@
 
     /// Of all attempts together: done when the last one is; not_run only if each one was (or none
     /// was made); else unknown. A refused retry doesn't make up for a lost first attempt.
-    outcome overall() const;
+    outcome overall_outcome() const;
 
     const std::vector<attempt>& attempts() const
     {
--- a/src/libcaraway/attempts/claim_book.cpp
+++ b/src/libcaraway/attempts/claim_tracker.cpp
@@ -1,21 +1,22 @@
-#include "libcaraway/attempts/claim_book.hpp"
+#include "libcaraway/attempts/claim_tracker.hpp"
 
 #include <utility>
 
 namespace caraway::attempts
 {
 
-claim_book::claim_book(claim_book_options options, base::node_ref self, life_lookup is_alive)
+claim_tracker::claim_tracker(claim_tracker_options options, base::node_ref self,
+                             liveness_lookup is_alive)
     : options_(options), self_(std::move(self)), is_alive_(std::move(is_alive))
 {
 }
 
-void claim_book::begin(base::request_number request)
+void claim_tracker::begin(base::request_number request)
 {
     running_.insert(request);
 }
 
-void claim_book::give_up(base::request_number request)
+void claim_tracker::give_up(base::request_number request)
 {
     if (running_.erase(request) == 0 || options_.max_not_sent == 0)
     {
@@ -30,12 +31,12 @@
     not_sent_order_.push_back(request);
 }
 
-void claim_book::end(base::request_number request)
+void claim_tracker::end(base::request_number request)
 {
     running_.erase(request);
 }
 
-holder_state claim_book::state(const attempt_id& holder) const
+holder_state claim_tracker::state(const attempt_id& holder) const
 {
     if (holder.router != self_)
     {
--- a/src/libcaraway/attempts/claim_book.hpp
+++ b/src/libcaraway/attempts/claim_tracker.hpp
@@ -10,20 +10,20 @@
 namespace caraway::attempts
 {
 
-struct claim_book_options
+struct claim_tracker_options
 {
     /// Calls given up without sending that are remembered; the oldest go first.
     std::size_t max_not_sent = 10000;
 };
 
 /// Tells holders of records: of this life from memory, of others by asking the membership.
-class claim_book
+class claim_tracker
 {
 public:
     /// Whether that life of that router is alive, as far as is known.
-    using life_lookup = std::function<bool(const base::node_ref&)>;
+    using liveness_lookup = std::function<bool(const base::node_ref&)>;
 
-    claim_book(claim_book_options options, base::node_ref self, life_lookup is_alive);
+    claim_tracker(claim_tracker_options options, base::node_ref self, liveness_lookup is_alive);
 
     /// A keyed call begins to claim.
     void begin(base::request_number request);
@@ -35,9 +35,9 @@
     holder_state state(const attempt_id& holder) const;
 
 private:
-    claim_book_options options_;
+    claim_tracker_options options_;
     base::node_ref self_;
-    life_lookup is_alive_;
+    liveness_lookup is_alive_;
     std::set<base::request_number> running_;
     std::set<base::request_number> not_sent_;
     std::deque<base::request_number> not_sent_order_;
--- a/src/libcaraway/attempts/crash_detector.cpp
+++ b/src/libcaraway/attempts/crash_detector.cpp
@@ -24,12 +24,14 @@
 
 crash_detector::crash_detector(crash_detector_options options) : options_(options) {}
 
-void crash_detector::started(const base::upstream_id& upstream, request_fingerprint fingerprint)
+void crash_detector::record_started(const base::upstream_id& upstream,
+                                    request_fingerprint fingerprint)
 {
     upstreams_[upstream].in_flight.push_back(fingerprint);
 }
 
-void crash_detector::ended(const base::upstream_id& upstream, request_fingerprint fingerprint)
+void crash_detector::record_ended(const base::upstream_id& upstream,
+                                  request_fingerprint fingerprint)
 {
     const auto found = upstreams_.find(upstream);
     if (found != upstreams_.end())
@@ -38,9 +40,9 @@
     }
 }
 
-std::optional<upstream_crash> crash_detector::connection_lost(const base::upstream_id& upstream,
-                                                              request_fingerprint fingerprint,
-                                                              base::time_point now)
+std::optional<upstream_crash>
+crash_detector::record_connection_lost(const base::upstream_id& upstream,
+                                       request_fingerprint fingerprint, base::time_point now)
 {
     const auto found = upstreams_.find(upstream);
     if (found == upstreams_.end() || !remove_one(found->second.in_flight, fingerprint))
@@ -49,25 +51,27 @@
         return std::nullopt;
     }
     auto& seen = found->second;
-    std::erase_if(seen.lost, [&](const loss& each) { return each.at + options_.memory <= now; });
+    std::erase_if(seen.lost,
+                  [&](const loss& each) { return each.at + options_.loss_retention <= now; });
     seen.lost.push_back({.fingerprint = fingerprint, .at = now});
     const auto at_once =
         std::count_if(seen.lost.begin(), seen.lost.end(),
                       [&](const loss& each) { return each.at + options_.window > now; });
-    const bool unreachable = seen.unreachable && *seen.unreachable + options_.memory > now;
-    if (!unreachable && static_cast<std::uint32_t>(at_once) < options_.lost_at_once)
+    const bool unreachable = seen.unreachable && *seen.unreachable + options_.loss_retention > now;
+    if (!unreachable && static_cast<std::uint32_t>(at_once) < options_.min_simultaneous_losses)
     {
         return std::nullopt;
     }
     return report(upstream, seen);
 }
 
-std::optional<upstream_crash> crash_detector::unreachable(const base::upstream_id& upstream,
-                                                          base::time_point now)
+std::optional<upstream_crash> crash_detector::record_unreachable(const base::upstream_id& upstream,
+                                                                 base::time_point now)
 {
     auto& seen = upstreams_[upstream];
     seen.unreachable = now;
-    std::erase_if(seen.lost, [&](const loss& each) { return each.at + options_.memory <= now; });
+    std::erase_if(seen.lost,
+                  [&](const loss& each) { return each.at + options_.loss_retention <= now; });
     if (seen.lost.empty())
     {
         return std::nullopt;
@@ -75,7 +79,7 @@
     return report(upstream, seen);
 }
 
-void crash_detector::healthy(const base::upstream_id& upstream)
+void crash_detector::record_healthy(const base::upstream_id& upstream)
 {
     const auto found = upstreams_.find(upstream);
     if (found == upstreams_.end())
--- a/src/libcaraway/attempts/crash_detector.hpp
+++ b/src/libcaraway/attempts/crash_detector.hpp
@@ -21,10 +21,10 @@
 struct crash_detector_options
 {
     /// Connections lost within the window that make a crash by themselves.
-    std::uint32_t lost_at_once = 2;
+    std::uint32_t min_simultaneous_losses = 2;
     std::chrono::milliseconds window{500};
     /// Losses that a later failed health check can still turn into a crash.
-    std::chrono::milliseconds memory{5000};
+    std::chrono::milliseconds loss_retention{5000};
 };
 
 /// Tells an upstream's crash from a single broken connection, and whom to charge, once a crash:
@@ -34,19 +34,19 @@
 public:
     explicit crash_detector(crash_detector_options options = {});
 
-    void started(const base::upstream_id& upstream, request_fingerprint fingerprint);
+    void record_started(const base::upstream_id& upstream, request_fingerprint fingerprint);
     /// Ended other than by a lost connection.
-    void ended(const base::upstream_id& upstream, request_fingerprint fingerprint);
+    void record_ended(const base::upstream_id& upstream, request_fingerprint fingerprint);
     /// Its connection was reset or closed before its whole answer.
-    std::optional<upstream_crash> connection_lost(const base::upstream_id& upstream,
-                                                  request_fingerprint fingerprint,
-                                                  base::time_point now);
+    std::optional<upstream_crash> record_connection_lost(const base::upstream_id& upstream,
+                                                         request_fingerprint fingerprint,
+                                                         base::time_point now);
     /// A health check failed or a new connection was refused. A crash together with a loss shortly
     /// before; else a loss shortly after makes one.
-    std::optional<upstream_crash> unreachable(const base::upstream_id& upstream,
-                                              base::time_point now);
+    std::optional<upstream_crash> record_unreachable(const base::upstream_id& upstream,
+                                                     base::time_point now);
     /// A health check passed: earlier losses were of single connections.
-    void healthy(const base::upstream_id& upstream);
+    void record_healthy(const base::upstream_id& upstream);
 
 private:
     struct loss
--- a/src/libcaraway/attempts/crash_refusal.cpp
+++ b/src/libcaraway/attempts/crash_refusal.cpp
@@ -9,7 +9,7 @@
 caller_error crash_suspects::refusal(request_fingerprint fingerprint, outcome result,
                                      base::time_point now) const
 {
-    const auto count = crashes(fingerprint, now);
+    const auto count = crash_count(fingerprint, now);
     auto error = make_caller_error(error_code::crashes_upstreams,
                                    "Refused: crashed " + std::to_string(count) +
                                        (count == 1 ? " upstream." : " upstreams."));
--- a/src/libcaraway/attempts/crash_suspects.cpp
+++ b/src/libcaraway/attempts/crash_suspects.cpp
@@ -46,16 +46,16 @@
     return request_fingerprint{hash_of<std::uint64_t>({workspace.str(), service.str(), body})};
 }
 
-upstream_mark mark_of(const base::upstream_id& upstream)
+upstream_fingerprint upstream_fingerprint_of(const base::upstream_id& upstream)
 {
-    return upstream_mark{hash_of<std::uint32_t>({upstream.str()})};
+    return upstream_fingerprint{hash_of<std::uint32_t>({upstream.str()})};
 }
 
 crash_suspects::crash_suspects(crash_options options) : options_(options) {}
 
-void crash_suspects::crashed(const base::upstream_id& upstream,
-                             const std::vector<request_fingerprint>& in_flight, bool alone,
-                             base::time_point now)
+void crash_suspects::record_crash(const base::upstream_id& upstream,
+                                  const std::vector<request_fingerprint>& in_flight, bool ran_alone,
+                                  base::time_point now)
 {
     drop_expired(now);
     const auto is_refused = [&](request_fingerprint each)
@@ -64,7 +64,7 @@
     };
     // It may have been sent before it was refused; then it needs no other explanation.
     const bool culprit_aboard = std::any_of(in_flight.begin(), in_flight.end(), is_refused);
-    const auto mark = mark_of(upstream);
+    const auto mark = upstream_fingerprint_of(upstream);
     for (const auto fingerprint : in_flight)
     {
         if (culprit_aboard && !is_refused(fingerprint))
@@ -77,14 +77,14 @@
             continue;
         }
         charged.upstreams.insert(mark);
-        charged.alone = charged.alone || alone;
-        charged.expires = std::max(charged.expires, now + options_.suspect_for);
+        charged.ran_alone = charged.ran_alone || ran_alone;
+        charged.expires = std::max(charged.expires, now + options_.suspect_lifetime);
     }
     judge_all(now);
-    keep_to_capacity();
+    evict_over_capacity();
 }
 
-void crash_suspects::completed(request_fingerprint fingerprint, base::time_point now)
+void crash_suspects::record_completed(request_fingerprint fingerprint, base::time_point now)
 {
     const auto found = suspects_.find(fingerprint);
     if (found == suspects_.end() || found->second.cleared)
@@ -93,7 +93,7 @@
     }
     found->second.cleared = true;
     found->second.refused = false;
-    found->second.expires = now + options_.suspect_for;
+    found->second.expires = now + options_.suspect_lifetime;
     judge_all(now);
 }
 
@@ -112,7 +112,8 @@
                                                       : crash_verdict::quarantine;
 }
 
-std::uint32_t crash_suspects::crashes(request_fingerprint fingerprint, base::time_point now) const
+std::uint32_t crash_suspects::crash_count(request_fingerprint fingerprint,
+                                          base::time_point now) const
 {
     const auto* const found = find(fingerprint, now);
     return found == nullptr ? 0 : static_cast<std::uint32_t>(found->upstreams.size());
@@ -136,7 +137,7 @@
     const auto found = suspects_.find(fingerprint);
     const auto rank = [&](const base::upstream_id& upstream)
     {
-        const auto mark = mark_of(upstream);
+        const auto mark = upstream_fingerprint_of(upstream);
         const bool crashed_before =
             found != suspects_.end() && found->second.upstreams.contains(mark);
         return std::pair(crashed_before, mark);
@@ -163,14 +164,15 @@
             std::chrono::duration_cast<std::chrono::milliseconds>(value.expires - now);
         all.push_back({.fingerprint = fingerprint,
                        .upstreams = {value.upstreams.begin(), value.upstreams.end()},
-                       .alone = value.alone,
+                       .ran_alone = value.ran_alone,
                        .cleared = value.cleared,
                        .expires_in_ms = static_cast<std::uint32_t>(left.count())});
     }
     std::stable_sort(all.begin(), all.end(),
-                     [](const auto& a, const auto& b) {
-                         return std::pair(a.alone, a.upstreams.size()) >
-                                std::pair(b.alone, b.upstreams.size());
+                     [](const auto& a, const auto& b)
+                     {
+                         return std::pair(a.ran_alone, a.upstreams.size()) >
+                                std::pair(b.ran_alone, b.upstreams.size());
                      });
     all.resize(std::min(all.size(), limit));
     return all;
@@ -184,7 +186,7 @@
         merge_one(other, now);
     }
     judge_all(now);
-    keep_to_capacity();
+    evict_over_capacity();
 }
 
 void crash_suspects::merge_one(const suspect_entry& other, base::time_point now)
@@ -199,18 +201,18 @@
             merged.upstreams.insert(mark);
         }
     }
-    merged.alone = before.alone || other.alone;
+    merged.ran_alone = before.ran_alone || other.ran_alone;
     merged.cleared = before.cleared || other.cleared;
     merged.refused = before.refused && !merged.cleared;
-    const bool news = merged.upstreams != before.upstreams || merged.alone != before.alone ||
-                      merged.cleared != before.cleared;
+    const bool news = merged.upstreams != before.upstreams ||
+                      merged.ran_alone != before.ran_alone || merged.cleared != before.cleared;
     if (!news)
     {
         // Else routers would keep an entry alive for each other by telling it in turn.
         return;
     }
     const std::chrono::milliseconds left(other.expires_in_ms);
-    merged.expires = std::max(before.expires, now + std::min(left, options_.refuse_for));
+    merged.expires = std::max(before.expires, now + std::min(left, options_.refusal_duration));
     suspects_[other.fingerprint] = merged;
 }
 
@@ -222,7 +224,7 @@
 }
 
 /// Crashes that no refused request was in.
-std::set<upstream_mark> crash_suspects::unexplained(suspect_map::const_reference entry) const
+std::set<upstream_fingerprint> crash_suspects::unexplained(suspect_map::const_reference entry) const
 {
     auto marks = entry.second.upstreams;
     for (const auto& [fingerprint, other] : suspects_)
@@ -240,19 +242,21 @@
 bool crash_suspects::is_guilty(suspect_map::const_reference entry) const
 {
     const auto& [fingerprint, value] = entry;
-    const auto fewest = std::min(options_.refuse_at, options_.always_refuse_at);
-    if (value.cleared || (!value.alone && value.upstreams.size() < fewest))
+    const auto fewest =
+        std::min(options_.refusal_threshold, options_.unconditional_refusal_threshold);
+    if (value.cleared || (!value.ran_alone && value.upstreams.size() < fewest))
     {
         return false;
     }
     const auto marks = unexplained(entry);
-    return (value.alone && !marks.empty()) || marks.size() >= options_.always_refuse_at ||
-           (marks.size() >= options_.refuse_at && !has_twin(fingerprint, marks));
+    return (value.ran_alone && !marks.empty()) ||
+           marks.size() >= options_.unconditional_refusal_threshold ||
+           (marks.size() >= options_.refusal_threshold && !is_ambiguous(fingerprint, marks));
 }
 
 /// Whether another suspect was in each of these crashes, so that it can't be told which it was.
-bool crash_suspects::has_twin(request_fingerprint fingerprint,
-                              const std::set<upstream_mark>& marks) const
+bool crash_suspects::is_ambiguous(request_fingerprint fingerprint,
+                                  const std::set<upstream_fingerprint>& marks) const
 {
     return std::any_of(suspects_.begin(), suspects_.end(),
                        [&](const auto& each)
@@ -269,12 +273,12 @@
 /// refused, guilty or not, and the other cleared.
 void crash_suspects::judge_all(base::time_point now)
 {
-    for (const bool alone : {true, false})
+    for (const bool ran_alone : {true, false})
     {
         std::vector<suspect*> guilty;
         for (auto& entry : suspects_)
         {
-            if (!entry.second.refused && entry.second.alone == alone && is_guilty(entry))
+            if (!entry.second.refused && entry.second.ran_alone == ran_alone && is_guilty(entry))
             {
                 guilty.push_back(&entry.second);
             }
@@ -282,7 +286,7 @@
         for (auto* const found : guilty)
         {
             found->refused = true;
-            found->expires = std::max(found->expires, now + options_.refuse_for);
+            found->expires = std::max(found->expires, now + options_.refusal_duration);
         }
     }
 }
@@ -292,7 +296,7 @@
     std::erase_if(suspects_, [now](const auto& each) { return each.second.expires <= now; });
 }
 
-void crash_suspects::keep_to_capacity()
+void crash_suspects::evict_over_capacity()
 {
     while (suspects_.size() > options_.capacity)
     {
--- a/src/libcaraway/attempts/crash_suspects.hpp
+++ b/src/libcaraway/attempts/crash_suspects.hpp
@@ -24,20 +24,20 @@
                                    const base::service_id& service, std::string_view body);
 
 /// A short hash of an upstream's id: which upstreams crashed under a request.
-enum class upstream_mark : std::uint32_t
+enum class upstream_fingerprint : std::uint32_t
 {
 };
 
-upstream_mark mark_of(const base::upstream_id& upstream);
+upstream_fingerprint upstream_fingerprint_of(const base::upstream_id& upstream);
 
 /// What routers tell each other of one suspect; state, so that a repeat changes nothing.
 struct suspect_entry
 {
     request_fingerprint fingerprint{};
     /// Upstreams that crashed while they ran it, in order, each once.
-    std::vector<upstream_mark> upstreams{};
+    std::vector<upstream_fingerprint> upstreams{};
     /// It was alone on the last one.
-    bool alone = false;
+    bool ran_alone = false;
     /// It ran to its end somewhere: it isn't what crashes upstreams.
     bool cleared = false;
     std::uint32_t expires_in_ms = 0;
@@ -49,11 +49,11 @@
 {
     /// Refused once this many distinct upstreams crashed under it and no other suspect was there
     /// each time.
-    std::uint32_t refuse_at = 2;
+    std::uint32_t refusal_threshold = 2;
     /// Refused once this many crashed under it, whoever else was there.
-    std::uint32_t always_refuse_at = 3;
-    std::chrono::milliseconds suspect_for{300000};
-    std::chrono::milliseconds refuse_for{900000};
+    std::uint32_t unconditional_refusal_threshold = 3;
+    std::chrono::milliseconds suspect_lifetime{300000};
+    std::chrono::milliseconds refusal_duration{900000};
     /// Suspects that may run at a time at this router.
     std::uint32_t max_quarantined = 1;
     /// Entries kept; with more, those that expire first go.
@@ -78,15 +78,15 @@
 
     /// An upstream crashed while it ran these. `alone`: known to have run nothing else, of any
     /// router.
-    void crashed(const base::upstream_id& upstream,
-                 const std::vector<request_fingerprint>& in_flight, bool alone,
-                 base::time_point now);
+    void record_crash(const base::upstream_id& upstream,
+                      const std::vector<request_fingerprint>& in_flight, bool ran_alone,
+                      base::time_point now);
     /// It ran to its end.
-    void completed(request_fingerprint fingerprint, base::time_point now);
+    void record_completed(request_fingerprint fingerprint, base::time_point now);
 
     crash_verdict verdict(request_fingerprint fingerprint, base::time_point now) const;
     /// Distinct upstreams that crashed under it.
-    std::uint32_t crashes(request_fingerprint fingerprint, base::time_point now) const;
+    std::uint32_t crash_count(request_fingerprint fingerprint, base::time_point now) const;
     /// What its caller is told; `result` of the attempts made for this very request.
     caller_error refusal(request_fingerprint fingerprint, outcome result,
                          base::time_point now) const;
@@ -112,8 +112,8 @@
 private:
     struct suspect
     {
-        std::set<upstream_mark> upstreams;
-        bool alone = false;
+        std::set<upstream_fingerprint> upstreams;
+        bool ran_alone = false;
         bool cleared = false;
         bool refused = false;
         base::time_point expires{};
@@ -121,13 +121,14 @@
     using suspect_map = std::map<request_fingerprint, suspect>;
 
     const suspect* find(request_fingerprint fingerprint, base::time_point now) const;
-    std::set<upstream_mark> unexplained(suspect_map::const_reference entry) const;
+    std::set<upstream_fingerprint> unexplained(suspect_map::const_reference entry) const;
     bool is_guilty(suspect_map::const_reference entry) const;
-    bool has_twin(request_fingerprint fingerprint, const std::set<upstream_mark>& marks) const;
+    bool is_ambiguous(request_fingerprint fingerprint,
+                      const std::set<upstream_fingerprint>& marks) const;
     void judge_all(base::time_point now);
     void merge_one(const suspect_entry& other, base::time_point now);
     void drop_expired(base::time_point now);
-    void keep_to_capacity();
+    void evict_over_capacity();
 
     crash_options options_;
     suspect_map suspects_;
--- a/src/libcaraway/attempts/once_coordinator.cpp
+++ b/src/libcaraway/attempts/once_coordinator.cpp
@@ -110,7 +110,7 @@
     return true;
 }
 
-std::chrono::milliseconds once_coordinator::pause() const
+std::chrono::milliseconds once_coordinator::backoff() const
 {
     constexpr std::uint32_t most_doublings = 20;
     if (phase_ != phase::recording || store_calls_ < 2)
@@ -118,7 +118,7 @@
         return std::chrono::milliseconds(0);
     }
     const auto doublings = std::min(store_calls_ - 2, most_doublings);
-    return std::min(options_.first_pause * (1U << doublings), options_.longest_pause);
+    return std::min(options_.initial_backoff * (1U << doublings), options_.max_backoff);
 }
 
 once_step once_coordinator::claim_on_write(write_reply reply)
--- a/src/libcaraway/attempts/once_coordinator.hpp
+++ b/src/libcaraway/attempts/once_coordinator.hpp
@@ -113,8 +113,8 @@
     /// Calls of the store to record an end; afterwards the record stays as it is.
     std::uint32_t max_record_calls = 20;
     /// Before the second try to record an end; doubles up to the longest.
-    std::chrono::milliseconds first_pause{100};
-    std::chrono::milliseconds longest_pause{30000};
+    std::chrono::milliseconds initial_backoff{100};
+    std::chrono::milliseconds max_backoff{30000};
     /// Answers up to this size are kept and given again.
     std::size_t max_stored_body = 4096;
     /// A started record older than this counts as unknown though its holder lives.
@@ -167,7 +167,7 @@
 
     /// How long to wait before carrying out the store action last given; 0 but for retries of a
     /// record.
-    std::chrono::milliseconds pause() const;
+    std::chrono::milliseconds backoff() const;
 
     /// Whether `proceed` was given and no end reported.
     bool may_send() const
--- a/src/libcaraway/attempts/retry_policy.cpp
+++ b/src/libcaraway/attempts/retry_policy.cpp
@@ -39,7 +39,7 @@
     {
         return deliver{};
     }
-    const bool repeatable = situation.idempotent || record.overall() == outcome::not_run;
+    const bool repeatable = situation.idempotent || record.overall_outcome() == outcome::not_run;
     if (repeatable && may_try_again(record, situation))
     {
         if (nothing_out)
@@ -61,18 +61,18 @@
     {
         return final_answer{std::move(error)};
     }
-    return break_off{std::move(error)};
+    return abort_answer{std::move(error)};
 }
 
-retry_decision retry_policy::give_up_waiting(const attempt_record& record,
-                                             std::uint64_t bytes_sent_to_caller) const
+retry_decision retry_policy::decide_expired(const attempt_record& record,
+                                            std::uint64_t bytes_sent_to_caller) const
 {
     auto error = explain(record, true);
     if (bytes_sent_to_caller == 0)
     {
         return final_answer{std::move(error)};
     }
-    return break_off{std::move(error)};
+    return abort_answer{std::move(error)};
 }
 
 bool retry_policy::may_try_again(const attempt_record& record,
@@ -80,12 +80,12 @@
 {
     return situation.caller_present && situation.budget_left &&
            record.attempts().size() < options_.max_attempts &&
-           situation.now + options_.least_time_left <= situation.deadline;
+           situation.now + options_.min_time_left <= situation.deadline;
 }
 
 caller_error retry_policy::explain(const attempt_record& record, bool out_of_time) const
 {
-    if (record.overall() == outcome::not_run)
+    if (record.overall_outcome() == outcome::not_run)
     {
         if (out_of_time)
         {
--- a/src/libcaraway/attempts/retry_policy.hpp
+++ b/src/libcaraway/attempts/retry_policy.hpp
@@ -22,7 +22,7 @@
     /// one is delivered.
     std::vector<std::uint16_t> retried_statuses = {502, 503, 504};
     /// No attempt begins with less than this left before the deadline.
-    std::chrono::milliseconds least_time_left{50};
+    std::chrono::milliseconds min_time_left{50};
     /// Told to callers who may come back.
     std::chrono::milliseconds retry_after{1000};
 };
@@ -73,14 +73,14 @@
 
 /// Part of an answer is out and can't be continued: break the caller's connection, so that the
 /// answer can't look whole. The error goes to the log, and as a last event into an event stream.
-struct break_off
+struct abort_answer
 {
     caller_error error;
-    friend bool operator==(const break_off&, const break_off&) = default;
+    friend bool operator==(const abort_answer&, const abort_answer&) = default;
 };
 
 using retry_decision =
-    std::variant<deliver, retry_elsewhere, resume_stream, final_answer, break_off>;
+    std::variant<deliver, retry_elsewhere, resume_stream, final_answer, abort_answer>;
 
 /// Decides what follows an attempt's end. What may have run is sent again only when the call is
 /// idempotent; nothing is sent again once bytes went to the caller, but a stream that can resume.
@@ -93,8 +93,8 @@
     retry_decision decide(const attempt_record& record, const retry_situation& situation) const;
 
     /// For a request whose deadline passes while it waits, before its first or next attempt.
-    retry_decision give_up_waiting(const attempt_record& record,
-                                   std::uint64_t bytes_sent_to_caller) const;
+    retry_decision decide_expired(const attempt_record& record,
+                                  std::uint64_t bytes_sent_to_caller) const;
 
 private:
     bool may_try_again(const attempt_record& record, const retry_situation& situation) const;
--- a/src/libcaraway/attempts/ticket_book.cpp
+++ b/src/libcaraway/attempts/ticket_registry.cpp
@@ -1,4 +1,4 @@
-#include "libcaraway/attempts/ticket_book.hpp"
+#include "libcaraway/attempts/ticket_registry.hpp"
 
 namespace caraway::attempts
 {
@@ -20,19 +20,20 @@
     return ticket{.router = id->router, .number = static_cast<std::uint64_t>(id->request)};
 }
 
-caller_error void_ticket()
+caller_error make_void_ticket_error()
 {
     return make_caller_error(
         error_code::ticket_void,
         "This ticket is void. If a request with it was sent before, its outcome is unknown.");
 }
 
-ticket_book::ticket_book(ticket_options options, base::node_ref self)
+ticket_registry::ticket_registry(ticket_options options, base::node_ref self)
     : options_(options), self_(std::move(self))
 {
 }
 
-base::result<ticket> ticket_book::mint(const base::workspace_id& workspace, base::time_point now)
+base::result<ticket> ticket_registry::mint(const base::workspace_id& workspace,
+                                           base::time_point now)
 {
     drop_expired(now);
     if (entries_.size() >= options_.capacity)
@@ -42,22 +43,22 @@
     const auto number = ++last_number_;
     auto& added = entries_[number];
     added.workspace = workspace;
-    set_expiry(number, added, now + options_.unused_for);
+    set_expiry(number, added, now + options_.unused_lifetime);
     return ticket{.router = self_, .number = number};
 }
 
-ticket_step ticket_book::use(const ticket& value, const base::workspace_id& workspace,
-                             const config::sha256_hex& fingerprint, base::time_point now)
+ticket_step ticket_registry::use(const ticket& value, const base::workspace_id& workspace,
+                                 const config::sha256_hex& fingerprint, base::time_point now)
 {
     drop_expired(now);
     if (value.router.id != self_.id)
     {
-        return belongs_to{value.router};
+        return redirect_to{value.router};
     }
     auto* const found = find(value);
     if (found == nullptr)
     {
-        return refuse{void_ticket()};
+        return refuse{make_void_ticket_error()};
     }
     if (found->workspace != workspace)
     {
@@ -74,7 +75,7 @@
     return proceed{};
 }
 
-void ticket_book::finish(const ticket& value, const once_answer& answer, base::time_point now)
+void ticket_registry::finish(const ticket& value, const once_answer& answer, base::time_point now)
 {
     auto* const found = find(value);
     if (found == nullptr || found->status != state::running)
@@ -88,10 +89,11 @@
     {
         found->answer.body = sha256(answer.body);
     }
-    set_expiry(value.number, *found, now + options_.kept_for);
+    set_expiry(value.number, *found, now + options_.result_retention);
 }
 
-void ticket_book::finish_without_answer(const ticket& value, outcome result, base::time_point now)
+void ticket_registry::finish_without_answer(const ticket& value, outcome result,
+                                            base::time_point now)
 {
     auto* const found = find(value);
     if (found == nullptr || found->status != state::running)
@@ -100,10 +102,11 @@
     }
     const bool not_run = result == outcome::not_run;
     found->status = not_run ? state::unused : state::unknown;
-    set_expiry(value.number, *found, now + (not_run ? options_.unused_for : options_.kept_for));
+    set_expiry(value.number, *found,
+               now + (not_run ? options_.unused_lifetime : options_.result_retention));
 }
 
-ticket_book::entry* ticket_book::find(const ticket& value)
+ticket_registry::entry* ticket_registry::find(const ticket& value)
 {
     if (value.router != self_)
     {
@@ -113,18 +116,18 @@
     return position == entries_.end() ? nullptr : &position->second;
 }
 
-void ticket_book::set_expiry(std::uint64_t number, entry& value, base::time_point when)
+void ticket_registry::set_expiry(std::uint64_t number, entry& value, base::time_point when)
 {
     value.expires = when;
     expiries_.emplace(when, number);
 }
 
-void ticket_book::clear_expiry(std::uint64_t number, const entry& value)
+void ticket_registry::clear_expiry(std::uint64_t number, const entry& value)
 {
     expiries_.erase({value.expires, number});
 }
 
-void ticket_book::drop_expired(base::time_point now)
+void ticket_registry::drop_expired(base::time_point now)
 {
     while (!expiries_.empty() && expiries_.begin()->first <= now)
     {
@@ -133,7 +136,7 @@
     }
 }
 
-ticket_step ticket_book::repeat(const entry& found, const config::sha256_hex& fingerprint) const
+ticket_step ticket_registry::repeat(const entry& found, const config::sha256_hex& fingerprint) const
 {
     if (found.fingerprint != fingerprint)
     {
--- a/src/libcaraway/attempts/ticket_book.hpp
+++ b/src/libcaraway/attempts/ticket_registry.hpp
@@ -36,31 +36,31 @@
     /// Tickets in memory at a time; minting more is refused.
     std::size_t capacity = 20000;
     /// From minting; an unused ticket is void afterwards.
-    std::chrono::milliseconds unused_for{60000};
+    std::chrono::milliseconds unused_lifetime{60000};
     /// From its call's end; afterwards the ticket is forgotten and its outcome unknown.
-    std::chrono::milliseconds kept_for{300000};
+    std::chrono::milliseconds result_retention{300000};
     std::size_t max_stored_body = 4096;
 };
 
 /// Whom the ticket belongs to is another router: the call goes there, or the caller is told where.
-struct belongs_to
+struct redirect_to
 {
     base::node_ref router;
-    friend bool operator==(const belongs_to&, const belongs_to&) = default;
+    friend bool operator==(const redirect_to&, const redirect_to&) = default;
 };
 
 /// proceed: send now, this once.
-using ticket_step = std::variant<proceed, replay, refuse, belongs_to>;
+using ticket_step = std::variant<proceed, replay, refuse, redirect_to>;
 
 /// For a ticket of a life that has ended: if it was used, how that ended is lost.
-caller_error void_ticket();
+caller_error make_void_ticket_error();
 
 /// At most once from memory, without the store: tickets of one life of one router. With that life
 /// all its tickets are void.
-class ticket_book
+class ticket_registry
 {
 public:
-    ticket_book(ticket_options options, base::node_ref self);
+    ticket_registry(ticket_options options, base::node_ref self);
 
     /// resource_exhausted when the book is full.
     base::result<ticket> mint(const base::workspace_id& workspace, base::time_point now);
--- a/src/libcaraway/routing/crash_tracker.cpp
+++ b/src/libcaraway/routing/crash_tracker.cpp
@@ -17,8 +17,8 @@
 crash_tracker::record_lost(const base::upstream_id& upstream, attempts::request_fingerprint request,
                            base::time_point now)
 {
-    detector_.started(upstream, request);
-    auto crash = detector_.connection_lost(upstream, request, now);
+    detector_.record_started(upstream, request);
+    auto crash = detector_.record_connection_lost(upstream, request, now);
     attribute(crash, now);
     return crash;
 }
@@ -26,7 +26,7 @@
 std::optional<attempts::upstream_crash>
 crash_tracker::record_unreachable(const base::upstream_id& upstream, base::time_point now)
 {
-    auto crash = detector_.unreachable(upstream, now);
+    auto crash = detector_.record_unreachable(upstream, now);
     attribute(crash, now);
     return crash;
 }
@@ -35,13 +35,13 @@
 crash_tracker::record_restarted(const base::upstream_id& upstream, base::time_point now)
 {
     auto crash = record_unreachable(upstream, now);
-    detector_.healthy(upstream);
+    detector_.record_healthy(upstream);
     return crash;
 }
 
 void crash_tracker::record_completed(attempts::request_fingerprint request, base::time_point now)
 {
-    suspects_.completed(request, now);
+    suspects_.record_completed(request, now);
 }
 
 std::vector<attempts::suspect_entry> crash_tracker::entries(base::time_point now) const
@@ -60,7 +60,7 @@
 {
     if (crash)
     {
-        suspects_.crashed(crash->upstream, crash->in_flight, false, now);
+        suspects_.record_crash(crash->upstream, crash->in_flight, false, now);
     }
 }
 
--- a/src/libcaraway/routing/crash_tracker.hpp
+++ b/src/libcaraway/routing/crash_tracker.hpp
@@ -13,15 +13,15 @@
     /// Lost connections alone do not count as a crash: running upstreams reset single answers and
     /// refuse connections beyond their limit. A crash is assumed only if a new connection is
     /// refused as well, shortly before or after.
-    attempts::crash_detector_options detector{.lost_at_once =
+    attempts::crash_detector_options detector{.min_simultaneous_losses =
                                                   std::numeric_limits<std::uint32_t>::max()};
     /// Three crashes, not two: rack failures and releases take down several upstreams at once, and
     /// a request that merely ran on two of them must not be refused. The platform lets a request
     /// reach upstreams up to its third crash and three times after.
-    attempts::crash_options suspects{.refuse_at = 3,
-                                     .always_refuse_at = 3,
-                                     .suspect_for = std::chrono::seconds(120),
-                                     .refuse_for = std::chrono::seconds(300)};
+    attempts::crash_options suspects{.refusal_threshold = 3,
+                                     .unconditional_refusal_threshold = 3,
+                                     .suspect_lifetime = std::chrono::seconds(120),
+                                     .refusal_duration = std::chrono::seconds(300)};
     /// Entries in one digest, of 30 bytes each; few requests are suspects at a time.
     std::size_t max_digest_entries = 16;
 };
--- a/src/libcaraway/routing/digest.cpp
+++ b/src/libcaraway/routing/digest.cpp
@@ -71,7 +71,7 @@
         {
             marks.push_back(static_cast<std::uint32_t>(mark));
         }
-        out.push_back({static_cast<std::uint64_t>(each.fingerprint), marks, each.alone,
+        out.push_back({static_cast<std::uint64_t>(each.fingerprint), marks, each.ran_alone,
                        each.cleared, each.expires_in_ms});
     }
     return out;
@@ -84,12 +84,12 @@
     {
         attempts::suspect_entry entry{
             .fingerprint = attempts::request_fingerprint{each.at(0).get<std::uint64_t>()},
-            .alone = each.at(2).get<bool>(),
+            .ran_alone = each.at(2).get<bool>(),
             .cleared = each.at(3).get<bool>(),
             .expires_in_ms = each.at(4).get<std::uint32_t>()};
         for (const auto& mark : each.at(1))
         {
-            entry.upstreams.push_back(attempts::upstream_mark{mark.get<std::uint32_t>()});
+            entry.upstreams.push_back(attempts::upstream_fingerprint{mark.get<std::uint32_t>()});
         }
         suspects.push_back(std::move(entry));
     }
--- a/tests/attempts/crash_test.cpp
+++ b/tests/attempts/crash_test.cpp
@@ -34,7 +34,7 @@
 
     void crash(const base::upstream_id& upstream, const fingerprints& in_flight, bool alone = false)
     {
-        here.crashed(upstream, in_flight, alone, clock.now());
+        here.record_crash(upstream, in_flight, alone, clock.now());
     }
     bool is(request_fingerprint fingerprint, crash_verdict expected) const
     {
@@ -75,7 +75,7 @@
 {
     crash(u1, {culprit});
     crash(u1, {culprit});
-    BOOST_TEST(here.crashes(culprit, clock.now()) == 1);
+    BOOST_TEST(here.crash_count(culprit, clock.now()) == 1);
     BOOST_TEST(is(culprit, crash_verdict::quarantine));
 }
 
@@ -107,7 +107,7 @@
 BOOST_AUTO_TEST_CASE(what_runs_to_its_end_is_cleared)
 {
     crash(u1, {culprit, neighbour});
-    here.completed(neighbour, clock.now());
+    here.record_completed(neighbour, clock.now());
     crash(u2, {culprit, neighbour});
     BOOST_TEST(is(neighbour, crash_verdict::run));
     BOOST_TEST(is(culprit, crash_verdict::refuse));
@@ -118,7 +118,7 @@
     crash(u1, {culprit}, true);
     crash(u2, {culprit, neighbour});
     BOOST_TEST(is(neighbour, crash_verdict::run));
-    BOOST_TEST(here.crashes(culprit, clock.now()) == 2);
+    BOOST_TEST(here.crash_count(culprit, clock.now()) == 2);
 }
 
 BOOST_AUTO_TEST_CASE(suspects_run_one_at_a_time_where_all_routers_run_them)
@@ -138,11 +138,11 @@
 {
     crash_suspects there;
     crash(u1, {culprit, neighbour});
-    there.crashed(u2, {culprit}, false, clock.now());
+    there.record_crash(u2, {culprit}, false, clock.now());
     there.merge(here.entries(10, clock.now()), clock.now());
     there.merge(here.entries(10, clock.now()), clock.now());
     BOOST_TEST((there.verdict(culprit, clock.now()) == crash_verdict::refuse));
-    BOOST_TEST(there.crashes(culprit, clock.now()) == 2);
+    BOOST_TEST(there.crash_count(culprit, clock.now()) == 2);
     BOOST_TEST((there.verdict(neighbour, clock.now()) == crash_verdict::run));
     for (int minute = 0; minute < 16; ++minute)
     {
@@ -184,8 +184,8 @@
                                   ? ids.front()
                                   : router.quarantine_upstream(culprit, ids).value();
         live.erase(upstream.str());
-        router.crashed(upstream, {culprit, verdict == crash_verdict::run ? neighbour : other},
-                       false, clock.now());
+        router.record_crash(upstream, {culprit, verdict == crash_verdict::run ? neighbour : other},
+                            false, clock.now());
         for (auto& peer : routers)
         {
             peer.merge(router.entries(16, clock.now()), clock.now());
@@ -213,12 +213,12 @@
     {
         for (const auto each : {culprit, neighbour, other})
         {
-            detector.started(u1, each);
+            detector.record_started(u1, each);
         }
     }
     std::optional<upstream_crash> lose(request_fingerprint fingerprint)
     {
-        return detector.connection_lost(u1, fingerprint, clock.now());
+        return detector.record_connection_lost(u1, fingerprint, clock.now());
     }
 };
 
@@ -239,15 +239,15 @@
     BOOST_REQUIRE(crash.has_value());
     BOOST_TEST((crash->in_flight == sorted({culprit, neighbour, other})));
     BOOST_TEST(!lose(other).has_value());
-    BOOST_TEST(!detector.unreachable(u1, clock.now()).has_value());
+    BOOST_TEST(!detector.record_unreachable(u1, clock.now()).has_value());
 }
 
 BOOST_AUTO_TEST_CASE(a_single_broken_connection_is_no_crash)
 {
     BOOST_TEST(!lose(culprit).has_value());
-    detector.healthy(u1);
-    BOOST_TEST(!detector.unreachable(u1, clock.now()).has_value());
-    detector.healthy(u1);
+    detector.record_healthy(u1);
+    BOOST_TEST(!detector.record_unreachable(u1, clock.now()).has_value());
+    detector.record_healthy(u1);
     clock.advance(std::chrono::seconds(1));
     BOOST_TEST(!lose(neighbour).has_value());
     clock.advance(std::chrono::seconds(1));
@@ -256,15 +256,15 @@
 
 BOOST_AUTO_TEST_CASE(a_loss_and_a_failed_health_check_are_a_crash_in_either_order)
 {
-    detector.ended(u1, other);
+    detector.record_ended(u1, other);
     lose(culprit);
-    const auto after = detector.unreachable(u1, clock.now());
+    const auto after = detector.record_unreachable(u1, clock.now());
     BOOST_REQUIRE(after.has_value());
     BOOST_TEST((after->in_flight == sorted({culprit, neighbour})));
 
-    detector.started(u2, culprit);
-    BOOST_TEST(!detector.unreachable(u2, clock.now()).has_value());
-    BOOST_TEST(detector.connection_lost(u2, culprit, clock.now()).has_value());
+    detector.record_started(u2, culprit);
+    BOOST_TEST(!detector.record_unreachable(u2, clock.now()).has_value());
+    BOOST_TEST(detector.record_connection_lost(u2, culprit, clock.now()).has_value());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/attempts/once_test.cpp
+++ b/tests/attempts/once_test.cpp
@@ -1,7 +1,7 @@
 #include "fake_table.hpp"
 
-#include "libcaraway/attempts/claim_book.hpp"
-#include "libcaraway/attempts/ticket_book.hpp"
+#include "libcaraway/attempts/claim_tracker.hpp"
+#include "libcaraway/attempts/ticket_registry.hpp"
 
 #include <boost/test/unit_test.hpp>
 
@@ -191,12 +191,12 @@
     auto first = sending("r1");
     BOOST_TEST(!first.abandon());
     auto step = first.finish(paid);
-    BOOST_TEST(first.pause().count() == 0);
+    BOOST_TEST(first.backoff().count() == 0);
     step = first.on_write(write_reply::unavailable);
-    BOOST_TEST(first.pause().count() == 100);
+    BOOST_TEST(first.backoff().count() == 100);
     table.write(step);
     step = first.on_write(write_reply::unknown_effect);
-    BOOST_TEST(first.pause().count() == 200);
+    BOOST_TEST(first.backoff().count() == 200);
     BOOST_TEST((run(first, table, step) == once_step(settled{})));
     BOOST_TEST((repeat("r2") == once_step(replay{201, "application/json", R"({"n":1})"})));
 }
@@ -211,8 +211,8 @@
 {
     const base::node_ref self{base::node_id("r1"), base::incarnation{4}};
     const base::node_ref past{base::node_id("r1"), base::incarnation{3}};
-    claim_book book({.max_not_sent = 1}, self,
-                    [&](const base::node_ref& life) { return life.id == base::node_id("r2"); });
+    claim_tracker book({.max_not_sent = 1}, self,
+                       [&](const base::node_ref& life) { return life.id == base::node_id("r2"); });
     const auto state = [&](const base::node_ref& life, std::uint64_t number)
     {
         return book.state({.router = life, .request = base::request_number{number}});
@@ -240,7 +240,7 @@
 {
     base::manual_clock clock;
     base::node_ref self{base::node_id("r1"), base::incarnation{2}};
-    ticket_book book{{.capacity = 2}, self};
+    ticket_registry book{{.capacity = 2}, self};
     config::sha256_hex request = once_fingerprint(workspace, "POST", "/pay", "100 taka");
 
     ticket minted()
@@ -287,7 +287,7 @@
     const ticket past{.router = {self.id, base::incarnation{1}}, .number = 1};
     const ticket other{.router = {base::node_id("r2"), base::incarnation{1}}, .number = 1};
     expect_refusal(use(past), error_code::ticket_void);
-    BOOST_TEST((use(other) == ticket_step(belongs_to{other.router})));
+    BOOST_TEST((use(other) == ticket_step(redirect_to{other.router})));
 }
 
 BOOST_AUTO_TEST_CASE(tickets_are_bounded_and_expire_but_not_while_they_run)
--- a/tests/attempts/retry_test.cpp
+++ b/tests/attempts/retry_test.cpp
@@ -107,7 +107,7 @@
     situation.now = situation.deadline;
     expect_final(after(end_kind::refused), 503, error_code::wait_expired, outcome::not_run);
     expect_final(after(end_kind::lost), 504, error_code::upstream_timeout, outcome::unknown);
-    expect_final(policy.give_up_waiting(record, 0), 504, error_code::upstream_timeout,
+    expect_final(policy.decide_expired(record, 0), 504, error_code::upstream_timeout,
                  outcome::unknown);
 }
 
@@ -129,7 +129,7 @@
                 retry_decision(resume_stream{.from_token = 31, .avoid = first_upstream})));
     situation.resumable_from_token.reset();
     const auto decision = after(end_kind::refused, 0, second_upstream);
-    const auto* const broken = std::get_if<break_off>(&decision);
+    const auto* const broken = std::get_if<abort_answer>(&decision);
     BOOST_REQUIRE(broken != nullptr);
     expect_error(broken->error, 502, error_code::upstream_lost, outcome::unknown);
 }
@@ -156,7 +156,7 @@
     BOOST_TEST(!record.end(first, {.kind = end_kind::answered, .status = 200}, 0));
     BOOST_TEST(!record.end(earlier_life, {.kind = end_kind::answered, .status = 200}, 0));
     BOOST_TEST(record.is_running(second));
-    BOOST_TEST(name(record.overall()) == "unknown");
+    BOOST_TEST(name(record.overall_outcome()) == "unknown");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
