--- a/src/libcaraway/attempts/caller_error.hpp
+++ b/src/libcaraway/attempts/caller_error.hpp
@@ -23,7 +23,7 @@
     in_progress,           ///< 409: another request with this key or ticket is in flight.
     already_done,          ///< 409: the call with this key was answered; its body is not stored.
     outcome_unknown,       ///< 409: the call with this key or ticket was sent; its result is lost.
-    ticket_void,           ///< 409: the ticket is unknown or has expired.
+    ticket_void,           ///< 409: the ticket is unknown, expired or of an earlier incarnation.
     body_too_large,        ///< 413
     key_reused,            ///< 422: the key was used with a different request.
     crashes_upstreams,     ///< 422: upstreams crashed while running this request.
--- a/src/libcaraway/attempts/crash_suspects.cpp
+++ b/src/libcaraway/attempts/crash_suspects.cpp
@@ -14,22 +14,23 @@
 namespace
 {
 
-/// More marks than this say nothing new; bounds what a peer can make us keep.
-constexpr std::size_t max_marks = 8;
+/// Maximum number of crashed upstreams kept per suspect. More would not change the verdict; the
+/// limit bounds the memory that a peer can make this router use.
+constexpr std::size_t max_upstreams = 8;
 
-/// The first bits of a SHA-1 over the fields, each with its length before it: what a caller writes
-/// can't be made to look like another caller's request.
+/// The first bits of a SHA-1 over the fields. Each field is prefixed with its length, so that a
+/// caller can't craft fields that are hashed as the same bytes as another caller's request.
 template <class Number>
 Number hash_of(std::initializer_list<std::string_view> fields)
 {
-    std::string all;
+    std::string input;
     for (const auto field : fields)
     {
-        all += std::to_string(field.size()) + ':';
-        all += field;
+        input += std::to_string(field.size()) + ':';
+        input += field;
     }
     const boost::uuids::name_generator_sha1 generate(boost::uuids::nil_uuid());
-    const auto hash = generate(all);
+    const auto hash = generate(input);
     Number value{};
     for (std::size_t byte = 0; byte < sizeof(Number); ++byte)
     {
@@ -57,30 +58,30 @@
                                   const std::vector<request_fingerprint>& in_flight, bool ran_alone,
                                   base::time_point now)
 {
-    drop_expired(now);
-    const auto is_refused = [&](request_fingerprint each)
+    remove_expired(now);
+    const auto is_refused = [&](request_fingerprint request)
     {
-        return verdict(each, now) == crash_verdict::refuse;
+        return verdict(request, now) == crash_verdict::refuse;
     };
-    // It may have been sent before it was refused; then it needs no other explanation.
-    const bool culprit_aboard = std::any_of(in_flight.begin(), in_flight.end(), is_refused);
+    // A refused request in flight (sent before it was refused) explains the crash.
+    const bool refused_in_flight = std::any_of(in_flight.begin(), in_flight.end(), is_refused);
     const auto mark = upstream_fingerprint_of(upstream);
     for (const auto fingerprint : in_flight)
     {
-        if (culprit_aboard && !is_refused(fingerprint))
+        if (refused_in_flight && !is_refused(fingerprint))
         {
             continue;
         }
-        auto& charged = suspects_[fingerprint];
-        if (charged.cleared || charged.upstreams.size() >= max_marks)
+        auto& entry = suspects_[fingerprint];
+        if (entry.cleared || entry.upstreams.size() >= max_upstreams)
         {
             continue;
         }
-        charged.upstreams.insert(mark);
-        charged.ran_alone = charged.ran_alone || ran_alone;
-        charged.expires = std::max(charged.expires, now + options_.suspect_lifetime);
+        entry.upstreams.insert(mark);
+        entry.ran_alone = entry.ran_alone || ran_alone;
+        entry.expires = std::max(entry.expires, now + options_.suspect_lifetime);
     }
-    judge_all(now);
+    update_refusals(now);
     evict_over_capacity();
 }
 
@@ -94,7 +95,7 @@
     found->second.cleared = true;
     found->second.refused = false;
     found->second.expires = now + options_.suspect_lifetime;
-    judge_all(now);
+    update_refusals(now);
 }
 
 crash_verdict crash_suspects::verdict(request_fingerprint fingerprint, base::time_point now) const
@@ -108,8 +109,8 @@
     {
         return crash_verdict::refuse;
     }
-    return unexplained({fingerprint, *found}).empty() ? crash_verdict::run
-                                                      : crash_verdict::quarantine;
+    return unexplained_crashes({fingerprint, *found}).empty() ? crash_verdict::run
+                                                              : crash_verdict::quarantine;
 }
 
 std::uint32_t crash_suspects::crash_count(request_fingerprint fingerprint,
@@ -153,7 +154,7 @@
 
 std::vector<suspect_entry> crash_suspects::entries(std::size_t limit, base::time_point now) const
 {
-    std::vector<suspect_entry> all;
+    std::vector<suspect_entry> result;
     for (const auto& [fingerprint, value] : suspects_)
     {
         if (value.expires <= now)
@@ -162,41 +163,41 @@
         }
         const auto left =
             std::chrono::duration_cast<std::chrono::milliseconds>(value.expires - now);
-        all.push_back({.fingerprint = fingerprint,
-                       .upstreams = {value.upstreams.begin(), value.upstreams.end()},
-                       .ran_alone = value.ran_alone,
-                       .cleared = value.cleared,
-                       .expires_in_ms = static_cast<std::uint32_t>(left.count())});
+        result.push_back({.fingerprint = fingerprint,
+                          .upstreams = {value.upstreams.begin(), value.upstreams.end()},
+                          .ran_alone = value.ran_alone,
+                          .cleared = value.cleared,
+                          .expires_in_ms = static_cast<std::uint32_t>(left.count())});
     }
-    std::stable_sort(all.begin(), all.end(),
+    std::stable_sort(result.begin(), result.end(),
                      [](const auto& a, const auto& b)
                      {
                          return std::pair(a.ran_alone, a.upstreams.size()) >
                                 std::pair(b.ran_alone, b.upstreams.size());
                      });
-    all.resize(std::min(all.size(), limit));
-    return all;
+    result.resize(std::min(result.size(), limit));
+    return result;
 }
 
 void crash_suspects::merge(const std::vector<suspect_entry>& others, base::time_point now)
 {
-    drop_expired(now);
+    remove_expired(now);
     for (const auto& other : others)
     {
-        merge_one(other, now);
+        merge_entry(other, now);
     }
-    judge_all(now);
+    update_refusals(now);
     evict_over_capacity();
 }
 
-void crash_suspects::merge_one(const suspect_entry& other, base::time_point now)
+void crash_suspects::merge_entry(const suspect_entry& other, base::time_point now)
 {
     const auto known = suspects_.find(other.fingerprint);
     const auto before = known == suspects_.end() ? suspect{} : known->second;
     auto merged = before;
     for (const auto mark : other.upstreams)
     {
-        if (merged.upstreams.size() < max_marks)
+        if (merged.upstreams.size() < max_upstreams)
         {
             merged.upstreams.insert(mark);
         }
@@ -204,11 +205,12 @@
     merged.ran_alone = before.ran_alone || other.ran_alone;
     merged.cleared = before.cleared || other.cleared;
     merged.refused = before.refused && !merged.cleared;
-    const bool news = merged.upstreams != before.upstreams ||
-                      merged.ran_alone != before.ran_alone || merged.cleared != before.cleared;
-    if (!news)
+    const bool changed = merged.upstreams != before.upstreams ||
+                         merged.ran_alone != before.ran_alone || merged.cleared != before.cleared;
+    if (!changed)
     {
-        // Else routers would keep an entry alive for each other by telling it in turn.
+        // Extending the expiry here would let routers keep an entry alive by sending it back and
+        // forth.
         return;
     }
     const std::chrono::milliseconds left(other.expires_in_ms);
@@ -223,8 +225,9 @@
     return found == suspects_.end() || found->second.expires <= now ? nullptr : &found->second;
 }
 
-/// Crashes that no refused request was in.
-std::set<upstream_fingerprint> crash_suspects::unexplained(suspect_map::const_reference entry) const
+/// Crashed upstreams at which no refused request was in flight.
+std::set<upstream_fingerprint>
+crash_suspects::unexplained_crashes(suspect_map::const_reference entry) const
 {
     auto marks = entry.second.upstreams;
     for (const auto& [fingerprint, other] : suspects_)
@@ -239,22 +242,22 @@
     return marks;
 }
 
-bool crash_suspects::is_guilty(suspect_map::const_reference entry) const
+bool crash_suspects::should_refuse(suspect_map::const_reference entry) const
 {
     const auto& [fingerprint, value] = entry;
-    const auto fewest =
+    const auto min_crashes =
         std::min(options_.refusal_threshold, options_.unconditional_refusal_threshold);
-    if (value.cleared || (!value.ran_alone && value.upstreams.size() < fewest))
+    if (value.cleared || (!value.ran_alone && value.upstreams.size() < min_crashes))
     {
         return false;
     }
-    const auto marks = unexplained(entry);
+    const auto marks = unexplained_crashes(entry);
     return (value.ran_alone && !marks.empty()) ||
            marks.size() >= options_.unconditional_refusal_threshold ||
            (marks.size() >= options_.refusal_threshold && !is_ambiguous(fingerprint, marks));
 }
 
-/// Whether another suspect was in each of these crashes, so that it can't be told which it was.
+/// Whether another suspect was in flight in each of these crashes, so that either may be the cause.
 bool crash_suspects::is_ambiguous(request_fingerprint fingerprint,
                                   const std::set<upstream_fingerprint>& marks) const
 {
@@ -268,22 +271,24 @@
                        });
 }
 
-/// Whoever is found guilty explains crashes of others, so those that were alone come first. Those
-/// of one pass are found together: else the first of two that were in the same crashes would be
-/// refused, guilty or not, and the other cleared.
-void crash_suspects::judge_all(base::time_point now)
+/// Marks requests as refused. A refused request explains crashes of others, so requests that ran
+/// alone are checked first. All requests of one pass are checked before any is marked: otherwise,
+/// of two requests in the same crashes, the first would be refused whether it is the cause or not,
+/// and the other would be cleared.
+void crash_suspects::update_refusals(base::time_point now)
 {
     for (const bool ran_alone : {true, false})
     {
-        std::vector<suspect*> guilty;
+        std::vector<suspect*> newly_refused;
         for (auto& entry : suspects_)
         {
-            if (!entry.second.refused && entry.second.ran_alone == ran_alone && is_guilty(entry))
+            if (!entry.second.refused && entry.second.ran_alone == ran_alone &&
+                should_refuse(entry))
             {
-                guilty.push_back(&entry.second);
+                newly_refused.push_back(&entry.second);
             }
         }
-        for (auto* const found : guilty)
+        for (auto* const found : newly_refused)
         {
             found->refused = true;
             found->expires = std::max(found->expires, now + options_.refusal_duration);
@@ -291,9 +296,9 @@
     }
 }
 
-void crash_suspects::drop_expired(base::time_point now)
+void crash_suspects::remove_expired(base::time_point now)
 {
-    std::erase_if(suspects_, [now](const auto& each) { return each.second.expires <= now; });
+    std::erase_if(suspects_, [now](const auto& entry) { return entry.second.expires <= now; });
 }
 
 void crash_suspects::evict_over_capacity()
--- a/src/libcaraway/attempts/crash_suspects.hpp
+++ b/src/libcaraway/attempts/crash_suspects.hpp
@@ -14,8 +14,8 @@
 namespace caraway::attempts
 {
 
-/// Recognises a request when its caller sends it again, at whichever router: a hash of workspace,
-/// service and body.
+/// Hash of workspace, service and body. Identifies a request when its caller sends it again, to any
+/// router.
 enum class request_fingerprint : std::uint64_t
 {
 };
@@ -23,22 +23,23 @@
 request_fingerprint fingerprint_of(const base::workspace_id& workspace,
                                    const base::service_id& service, std::string_view body);
 
-/// A short hash of an upstream's id: which upstreams crashed under a request.
+/// Short hash of an upstream id. Identifies the upstreams that crashed while running a request.
 enum class upstream_fingerprint : std::uint32_t
 {
 };
 
 upstream_fingerprint upstream_fingerprint_of(const base::upstream_id& upstream);
 
-/// What routers tell each other of one suspect; state, so that a repeat changes nothing.
+/// One suspect as sent between routers. Holds state rather than events, so merging an entry again
+/// is idempotent.
 struct suspect_entry
 {
     request_fingerprint fingerprint{};
-    /// Upstreams that crashed while they ran it, in order, each once.
+    /// Upstreams that crashed while running the request, sorted, without duplicates.
     std::vector<upstream_fingerprint> upstreams{};
-    /// It was alone on the last one.
+    /// The request was known to be the only one in flight at one of these upstreams.
     bool ran_alone = false;
-    /// It ran to its end somewhere: it isn't what crashes upstreams.
+    /// The request has completed on an upstream, so it is not the cause of the crashes.
     bool cleared = false;
     std::uint32_t expires_in_ms = 0;
 
@@ -47,20 +48,20 @@
 
 struct crash_options
 {
-    /// Refused once this many distinct upstreams crashed under it and no other suspect was there
-    /// each time.
+    /// Number of distinct upstreams that must crash while running a request before it is refused,
+    /// provided that no other suspect was in flight in all of these crashes.
     std::uint32_t refusal_threshold = 2;
-    /// Refused once this many crashed under it, whoever else was there.
+    /// Number of crashed upstreams after which a request is refused, whatever else was in flight.
     std::uint32_t unconditional_refusal_threshold = 3;
     std::chrono::milliseconds suspect_lifetime{300000};
     std::chrono::milliseconds refusal_duration{900000};
-    /// Suspects that may run at a time at this router.
+    /// Maximum number of suspects that this router runs concurrently.
     std::uint32_t max_quarantined = 1;
-    /// Entries kept; with more, those that expire first go.
+    /// Maximum number of suspects; beyond it, those that expire first are evicted.
     std::size_t capacity = 1024;
 };
 
-/// How a request may run.
+/// Whether and how a request may run.
 enum class crash_verdict
 {
     run,
@@ -68,39 +69,42 @@
     refuse,
 };
 
-/// Finds the request that crashes each upstream that runs it, among those that merely ran beside
-/// it. A request that ran to its end is cleared; crashes that a refused request explains no
-/// longer count against its neighbours.
+/// Identifies the request that crashes every upstream that runs it, among the requests that were
+/// merely in flight at the same time. A request that completes is cleared. Crashes explained by a
+/// refused request no longer count against the others that were in flight.
 class crash_suspects
 {
 public:
     explicit crash_suspects(crash_options options = {});
 
-    /// An upstream crashed while it ran these. `alone`: known to have run nothing else, of any
-    /// router.
+    /// Records that the upstream crashed while running these requests. `ran_alone`: the upstream is
+    /// known to have run nothing else, for any router.
     void record_crash(const base::upstream_id& upstream,
                       const std::vector<request_fingerprint>& in_flight, bool ran_alone,
                       base::time_point now);
-    /// It ran to its end.
+    /// Records that the request ran to completion.
     void record_completed(request_fingerprint fingerprint, base::time_point now);
 
     crash_verdict verdict(request_fingerprint fingerprint, base::time_point now) const;
-    /// Distinct upstreams that crashed under it.
+    /// Number of distinct upstreams that crashed while running the request.
     std::uint32_t crash_count(request_fingerprint fingerprint, base::time_point now) const;
-    /// What its caller is told; `result` of the attempts made for this very request.
+    /// Error for the caller of a refused request. `result` is the outcome of the attempts already
+    /// made for this submission of it.
     caller_error refusal(request_fingerprint fingerprint, outcome result,
                          base::time_point now) const;
 
-    /// Takes a place for a suspect; false when all are taken or it runs already: it waits.
+    /// Reserves a quarantine slot for a suspect. Returns false if all slots are taken or the
+    /// suspect already runs; it has to wait then.
     bool begin_quarantine(request_fingerprint fingerprint);
     void end_quarantine(request_fingerprint fingerprint);
-    /// Where suspects run: the same upstream for every router that knows the same upstreams.
-    /// Upstreams that already crashed under it come last. Nothing when there are none.
+    /// The upstream to run a suspect at. Routers with the same list of upstreams choose the same
+    /// one. Upstreams that already crashed while running the request are chosen last. nullopt if
+    /// `live` is empty.
     std::optional<base::upstream_id>
     quarantine_upstream(request_fingerprint fingerprint,
                         const std::vector<base::upstream_id>& live) const;
 
-    /// At most `limit` entries to tell others, those nearest to refusal first.
+    /// At most `limit` entries for other routers, those closest to being refused first.
     std::vector<suspect_entry> entries(std::size_t limit, base::time_point now) const;
     void merge(const std::vector<suspect_entry>& others, base::time_point now);
 
@@ -121,13 +125,13 @@
     using suspect_map = std::map<request_fingerprint, suspect>;
 
     const suspect* find(request_fingerprint fingerprint, base::time_point now) const;
-    std::set<upstream_fingerprint> unexplained(suspect_map::const_reference entry) const;
-    bool is_guilty(suspect_map::const_reference entry) const;
+    std::set<upstream_fingerprint> unexplained_crashes(suspect_map::const_reference entry) const;
+    bool should_refuse(suspect_map::const_reference entry) const;
     bool is_ambiguous(request_fingerprint fingerprint,
                       const std::set<upstream_fingerprint>& marks) const;
-    void judge_all(base::time_point now);
-    void merge_one(const suspect_entry& other, base::time_point now);
-    void drop_expired(base::time_point now);
+    void update_refusals(base::time_point now);
+    void merge_entry(const suspect_entry& other, base::time_point now);
+    void remove_expired(base::time_point now);
     void evict_over_capacity();
 
     crash_options options_;
--- a/src/libcaraway/attempts/once_coordinator.cpp
+++ b/src/libcaraway/attempts/once_coordinator.cpp
@@ -43,7 +43,7 @@
 {
     if (abandoned_)
     {
-        return end_with(settled{});
+        return close_with(settled{});
     }
     phase_ = phase::claiming;
     return insert();
@@ -112,12 +112,12 @@
 
 std::chrono::milliseconds once_coordinator::backoff() const
 {
-    constexpr std::uint32_t most_doublings = 20;
+    constexpr std::uint32_t max_doublings = 20;
     if (phase_ != phase::recording || store_calls_ < 2)
     {
         return std::chrono::milliseconds(0);
     }
-    const auto doublings = std::min(store_calls_ - 2, most_doublings);
+    const auto doublings = std::min(store_calls_ - 2, max_doublings);
     return std::min(options_.initial_backoff * (1U << doublings), options_.max_backoff);
 }
 
@@ -126,15 +126,16 @@
     switch (reply)
     {
     case write_reply::ok:
-        return own_claim(rev_);
+        return start_sending(rev_);
     case write_reply::unavailable:
-        return store_out();
+        return refuse_store_unavailable();
     case write_reply::conflict:
     case write_reply::unknown_effect:
-        // The row tells whose claim holds: a write whose reply was lost may be our own conflict.
+        // Only the row shows which claim succeeded: the conflict may be with this call's own
+        // earlier write whose reply was lost.
         return read();
     }
-    return store_out();
+    return refuse_store_unavailable();
 }
 
 once_step once_coordinator::claim_on_read(const read_reply& reply)
@@ -142,14 +143,15 @@
     switch (reply.status)
     {
     case read_status::found:
-        return judge(reply.row);
+        return evaluate_row(reply.row);
     case read_status::absent:
-        // The lost insert may still land. A second one is safe: just one of them can succeed.
-        return abandoned_ ? end_with(settled{}) : insert();
+        // The insert without a reply may still take effect. A second one is safe, as only one of
+        // them can succeed.
+        return abandoned_ ? close_with(settled{}) : insert();
     case read_status::unavailable:
-        return store_out();
+        return refuse_store_unavailable();
     }
-    return store_out();
+    return refuse_store_unavailable();
 }
 
 once_step once_coordinator::record_on_write(write_reply reply)
@@ -157,32 +159,32 @@
     switch (reply)
     {
     case write_reply::ok:
-        return end_with(settled{});
+        return close_with(settled{});
     case write_reply::conflict:
-        return record_again(read_row{.key = call_.key});
+        return retry_record(read_row{.key = call_.key});
     case write_reply::unavailable:
     case write_reply::unknown_effect:
-        return record_again(
+        return retry_record(
             replace_row{.key = call_.key, .expected_rev = rev_, .body = to_json(record_)});
     }
-    return end_with(settled{});
+    return close_with(settled{});
 }
 
 once_step once_coordinator::record_on_read(const read_reply& reply)
 {
     if (reply.status == read_status::unavailable)
     {
-        return record_again(read_row{.key = call_.key});
+        return retry_record(read_row{.key = call_.key});
     }
-    // Our own write whose reply was lost, or another's claim after it: nothing is left to do.
-    return end_with(settled{});
+    // The row was changed by this call's own write whose reply was lost, or by a later claim.
+    return close_with(settled{});
 }
 
 once_step once_coordinator::insert()
 {
-    if (!claim_call_left())
+    if (!take_claim_call())
     {
-        return store_out();
+        return refuse_store_unavailable();
     }
     rev_ = first_rev;
     return insert_row{.key = call_.key, .body = to_json(record_)};
@@ -190,9 +192,9 @@
 
 once_step once_coordinator::read()
 {
-    if (!claim_call_left())
+    if (!take_claim_call())
     {
-        return store_out();
+        return refuse_store_unavailable();
     }
     return read_row{.key = call_.key};
 }
@@ -201,22 +203,22 @@
 {
     if (abandoned_)
     {
-        return end_with(settled{});
+        return close_with(settled{});
     }
-    if (!claim_call_left())
+    if (!take_claim_call())
     {
-        return store_out();
+        return refuse_store_unavailable();
     }
     rev_ = rev + 1;
     return replace_row{.key = call_.key, .expected_rev = rev, .body = to_json(record_)};
 }
 
-once_step once_coordinator::own_claim(std::uint64_t rev)
+once_step once_coordinator::start_sending(std::uint64_t rev)
 {
     rev_ = rev;
     if (abandoned_)
     {
-        // The caller was told not_run; this claim must never send.
+        // The caller got not_run, so the call must never be sent.
         record_.state = once_state::released;
         return begin_record();
     }
@@ -225,38 +227,38 @@
     return proceed{};
 }
 
-once_step once_coordinator::judge(const stored_row& row)
+once_step once_coordinator::evaluate_row(const stored_row& row)
 {
     const auto parsed = parse_once_record(row.body);
     if (!parsed)
     {
-        return end_with(refuse_unknown("This key's record cannot be read."));
+        return close_with(refuse_unknown("This key's record cannot be read."));
     }
     const auto& found = parsed.value();
     if (found.holder == call_.claimant && found.state == once_state::started)
     {
-        return own_claim(row.rev);
+        return start_sending(row.rev);
     }
     if (found.fingerprint != call_.fingerprint)
     {
-        return end_with(refuse{make_caller_error(
+        return close_with(refuse{make_caller_error(
             error_code::key_reused, "This key was used with another request before.")});
     }
     switch (found.state)
     {
     case once_state::finished:
-        return end_with(replay_of(found));
+        return close_with(replay_of(found));
     case once_state::unknown:
-        return end_with(refuse_unknown("This key's call was sent and its answer was lost."));
+        return close_with(refuse_unknown("This key's call was sent and its answer was lost."));
     case once_state::released:
         return take_over(row.rev);
     case once_state::started:
-        return judge_started(found, row.rev);
+        return evaluate_started(found, row.rev);
     }
-    return end_with(refuse_unknown("This key's record cannot be read."));
+    return close_with(refuse_unknown("This key's record cannot be read."));
 }
 
-once_step once_coordinator::judge_started(const once_record& record, std::uint64_t rev)
+once_step once_coordinator::evaluate_started(const once_record& record, std::uint64_t rev)
 {
     const auto holder = holder_(record.holder);
     if (holder == holder_state::not_sent)
@@ -266,11 +268,11 @@
     const std::chrono::milliseconds age(call_.now_ms - record.started_at_ms);
     if (holder == holder_state::running && age <= options_.in_progress_limit)
     {
-        return end_with(refuse{make_caller_error(error_code::in_progress,
-                                                 "Another request with this key is under way.",
-                                                 options_.retry_after)});
+        return close_with(refuse{make_caller_error(error_code::in_progress,
+                                                   "Another request with this key is under way.",
+                                                   options_.retry_after)});
     }
-    return end_with(
+    return close_with(
         refuse_unknown("This key's call was begun by a router that did not record its end."));
 }
 
@@ -278,21 +280,21 @@
 {
     phase_ = phase::recording;
     store_calls_ = 0;
-    return record_again(
+    return retry_record(
         replace_row{.key = call_.key, .expected_rev = rev_, .body = to_json(record_)});
 }
 
-once_step once_coordinator::record_again(once_step step)
+once_step once_coordinator::retry_record(once_step step)
 {
     if (store_calls_ >= options_.max_record_calls)
     {
-        return end_with(settled{});
+        return close_with(settled{});
     }
     ++store_calls_;
     return step;
 }
 
-once_step once_coordinator::end_with(once_step last)
+once_step once_coordinator::close_with(once_step last)
 {
     phase_ = phase::closed;
     if (abandoned_)
@@ -302,16 +304,16 @@
     return last;
 }
 
-once_step once_coordinator::store_out()
+once_step once_coordinator::refuse_store_unavailable()
 {
-    return end_with(refuse{make_caller_error(
+    return close_with(refuse{make_caller_error(
         error_code::store_unavailable,
         "This request was not sent: its key cannot be claimed while the table service is out. If "
         "an earlier request with this key got no answer, its outcome stays unknown.",
         options_.retry_after)});
 }
 
-bool once_coordinator::claim_call_left()
+bool once_coordinator::take_claim_call()
 {
     if (store_calls_ >= options_.max_claim_calls)
     {
--- a/src/libcaraway/attempts/once_coordinator.hpp
+++ b/src/libcaraway/attempts/once_coordinator.hpp
@@ -13,7 +13,7 @@
 namespace caraway::attempts
 {
 
-/// Write the row if it is absent, with rev 1.
+/// Insert the row with rev 1, provided that it is absent.
 struct insert_row
 {
     row_key key;
@@ -21,7 +21,7 @@
     friend bool operator==(const insert_row&, const insert_row&) = default;
 };
 
-/// Write the row if its rev is still this one; its rev becomes one more.
+/// Replace the row, provided that its rev equals `expected_rev`; increments the rev.
 struct replace_row
 {
     row_key key;
@@ -30,20 +30,20 @@
     friend bool operator==(const replace_row&, const replace_row&) = default;
 };
 
-/// Read the row, consistently.
+/// Read the row with strong consistency.
 struct read_row
 {
     row_key key;
     friend bool operator==(const read_row&, const read_row&) = default;
 };
 
-/// Our claim is known to be in the table: send the request.
+/// Send the request: this call's claim is known to be in the table.
 struct proceed
 {
     friend bool operator==(const proceed&, const proceed&) = default;
 };
 
-/// Give the caller the recorded answer.
+/// Send the recorded answer to the caller.
 struct replay
 {
     std::uint16_t status = 0;
@@ -52,39 +52,40 @@
     friend bool operator==(const replay&, const replay&) = default;
 };
 
-/// Give the caller this error; nothing is sent.
+/// Send this error to the caller; nothing is sent to an upstream.
 struct refuse
 {
     caller_error error;
     friend bool operator==(const refuse&, const refuse&) = default;
 };
 
-/// Nothing is left to do for this call.
+/// The call needs no further action.
 struct settled
 {
     friend bool operator==(const settled&, const settled&) = default;
 };
 
-/// What to do next. After a store action, its reply comes in; the rest end their phase.
+/// The next step. insert_row, replace_row and read_row are store actions, to be followed by
+/// on_write() or on_read(); the other steps end the current phase.
 using once_step = std::variant<insert_row, replace_row, read_row, proceed, replay, refuse, settled>;
 
-/// How a conditional write ended.
+/// Result of a conditional write.
 enum class write_reply
 {
     ok,
     conflict,        ///< The condition failed.
-    unavailable,     ///< Provably had no effect.
-    unknown_effect,  ///< No reply; it may have taken effect, or may yet.
+    unavailable,     ///< Provably without effect.
+    unknown_effect,  ///< No reply; the write may have taken effect or may do so later.
 };
 
-/// A row as it was read.
+/// A row read from the table.
 struct stored_row
 {
     std::uint64_t rev = 0;
     std::string body{};
 };
 
-/// How a read ended.
+/// Result of a read.
 enum class read_status
 {
     found,
@@ -98,40 +99,40 @@
     stored_row row{};
 };
 
-/// What is known of the holder of a record.
+/// What is known about the holder of a record.
 enum class holder_state
 {
-    running,   ///< That life is alive, as far as we know.
-    gone,      ///< That life has ended, or nothing is known of it.
-    not_sent,  ///< It is this life, and it has given the call up without sending it.
+    running,   ///< The holder's incarnation is believed to be alive.
+    gone,      ///< The holder's incarnation has ended or is unknown.
+    not_sent,  ///< This incarnation is the holder and abandoned the call without sending it.
 };
 
 struct once_options
 {
-    /// Calls of the store for a claim before the caller is told to come back.
+    /// Maximum number of store calls per claim; beyond it, the caller gets store_unavailable.
     std::uint32_t max_claim_calls = 6;
-    /// Calls of the store to record an end; afterwards the record stays as it is.
+    /// Maximum number of store calls to record an end; beyond it, the record stays unchanged.
     std::uint32_t max_record_calls = 20;
-    /// Before the second try to record an end; doubles up to the longest.
+    /// Delay before the second try to record an end; doubles with each try, up to max_backoff.
     std::chrono::milliseconds initial_backoff{100};
     std::chrono::milliseconds max_backoff{30000};
-    /// Answers up to this size are kept and given again.
+    /// Answer bodies up to this size, in bytes, are stored and replayed.
     std::size_t max_stored_body = 4096;
-    /// A started record older than this counts as unknown though its holder lives.
+    /// A started record older than this is reported as unknown even if its holder is alive.
     std::chrono::milliseconds in_progress_limit{180000};
     std::chrono::milliseconds retry_after{2000};
 };
 
-/// One keyed call.
+/// One call with an idempotency key.
 struct once_call
 {
-    attempt_id claimant{};  ///< With count 0: the request, whatever its attempts.
+    attempt_id claimant{};  ///< With count 0: the request as a whole, not one attempt.
     row_key key{};
     config::sha256_hex fingerprint{};
     std::int64_t now_ms = 0;  ///< Wall clock, see once_record::started_at_ms.
 };
 
-/// An upstream's whole answer, to be recorded.
+/// A complete answer of an upstream, to be recorded.
 struct once_answer
 {
     std::uint16_t status = 0;
@@ -139,12 +140,13 @@
     std::string body{};
 };
 
-/// At most once for one call with a caller's Idempotency-Key. Drives the store by actions and
-/// replies; `proceed` comes only after our own claim is known to be in the table.
+/// Runs a call with an Idempotency-Key at most once. Returns store actions as steps and takes their
+/// replies; returns `proceed` only after this call's claim is known to be in the table.
 ///
-/// Why this holds: the row is only ever inserted once and never deleted, its rev rises with each
+/// Why this holds: the row is inserted only once and never deleted, its rev increases with each
 /// write, and every write is conditional, so exactly one claimant can own a rev. A claim passes to
-/// another only out of `released`, which the holder writes after it has given up sending.
+/// another claimant only if the holder will never send the call: the record is `released`, or the
+/// holder is this router and holder_state::not_sent.
 class once_coordinator
 {
 public:
@@ -156,20 +158,21 @@
     once_step on_write(write_reply reply);
     once_step on_read(const read_reply& reply);
 
-    /// After `proceed`: the upstream's whole answer.
+    /// After `proceed`: records the complete answer of the upstream.
     once_step finish(const once_answer& answer);
-    /// After `proceed`: not_run lets go of the claim, unknown is recorded as such.
+    /// After `proceed`: not_run releases the claim, any other outcome is recorded as unknown.
     once_step finish_without_answer(outcome result);
-    /// The caller's deadline passed, or it went away. True before `proceed`, which then never
-    /// comes: the caller can be told not_run at once, and a store action that is out still gets
-    /// its reply. False once `proceed` was given: then only the attempts' own end counts.
+    /// Abandons the call because the deadline passed or the caller disconnected. Returns true
+    /// before `proceed`, which is then never returned: the caller can get not_run at once, while a
+    /// pending store action still expects its reply. Returns false after `proceed`: the outcome
+    /// then depends on the end of the attempts only.
     [[nodiscard]] bool abandon();
 
-    /// How long to wait before carrying out the store action last given; 0 but for retries of a
-    /// record.
+    /// Delay before the last returned store action is to be carried out; 0 except when recording an
+    /// end is retried.
     std::chrono::milliseconds backoff() const;
 
-    /// Whether `proceed` was given and no end reported.
+    /// Whether `proceed` was returned and no end has been reported yet.
     bool may_send() const
     {
         return phase_ == phase::sending;
@@ -179,9 +182,9 @@
     enum class phase
     {
         idle,
-        claiming,   ///< An insert or take-over is out, or a read after one.
-        sending,    ///< The claim is ours.
-        recording,  ///< The end is being written.
+        claiming,   ///< An insert, a take-over or a read after one of these is pending.
+        sending,    ///< This call owns the claim.
+        recording,  ///< The end is being recorded.
         closed,
     };
 
@@ -193,14 +196,14 @@
     once_step insert();
     once_step read();
     once_step take_over(std::uint64_t rev);
-    once_step own_claim(std::uint64_t rev);
-    once_step judge(const stored_row& row);
-    once_step judge_started(const once_record& record, std::uint64_t rev);
+    once_step start_sending(std::uint64_t rev);
+    once_step evaluate_row(const stored_row& row);
+    once_step evaluate_started(const once_record& record, std::uint64_t rev);
     once_step begin_record();
-    once_step record_again(once_step step);
-    once_step end_with(once_step last);
-    once_step store_out();
-    bool claim_call_left();
+    once_step retry_record(once_step step);
+    once_step close_with(once_step last);
+    once_step refuse_store_unavailable();
+    bool take_claim_call();
 
     once_options options_;
     once_call call_;
@@ -209,7 +212,7 @@
     bool abandoned_ = false;
     bool proceeded_ = false;
     std::uint32_t store_calls_ = 0;
-    /// The rev that the claim has, or gets from the write that is out.
+    /// The rev of the claim, or the one that the pending write will give it.
     std::uint64_t rev_ = 0;
     once_record record_;
 };
--- a/src/libcaraway/attempts/once_record.cpp
+++ b/src/libcaraway/attempts/once_record.cpp
@@ -117,7 +117,9 @@
     const auto state = parse_state(string_at(object, state_key));
     if (!holder || !state || !object.value(fingerprint_key).isString())
     {
-        return base::make_error(base::errc::corrupt, "Not a record of a keyed call.");
+        return base::make_error(base::errc::corrupt,
+                                "record of an idempotency key is malformed: attempt, state or "
+                                "fingerprint is missing or invalid");
     }
     once_record record{.holder = *holder,
                        .state = *state,
--- a/src/libcaraway/attempts/once_record.hpp
+++ b/src/libcaraway/attempts/once_record.hpp
@@ -12,36 +12,36 @@
 namespace caraway::attempts
 {
 
-/// Where a keyed call stands.
+/// State of a call with an idempotency key.
 enum class once_state
 {
-    started,   ///< Claimed; the holder may send it, or has.
-    finished,  ///< Answered; status and hash are kept, a small body too.
-    unknown,   ///< Sent, and the holder knows that it will never learn how it ended.
-    released,  ///< The holder sent nothing and never will; anyone may claim it.
+    started,   ///< Claimed; the holder may send the call or has sent it.
+    finished,  ///< Answered; the status, the hash and a small body are stored.
+    unknown,   ///< Sent; the holder knows that the result is lost.
+    released,  ///< The holder has not sent the call and never will; the key may be claimed again.
 };
 
-/// Body of the row once#<workspace>#<sha256 of key> / claim.
+/// Body of the table row with partition key once#<workspace>#<sha256 of key> and sort key claim.
 struct once_record
 {
     attempt_id holder{};
     once_state state = once_state::started;
-    /// SHA-256 over workspace, method, path and body; another request has another one.
+    /// SHA-256 of workspace, method, path and body; differs for a different request.
     config::sha256_hex fingerprint{};
-    /// Wall-clock milliseconds since 1970 at the holder. Only chooses between the words
-    /// "in progress" and "unknown", which are both true of a started record.
+    /// Wall clock of the holder, in milliseconds since 1970. Only decides whether a started record
+    /// is reported as "in progress" or "unknown", both of which are correct for it.
     std::int64_t started_at_ms = 0;
     std::uint16_t status = 0;
     config::sha256_hex answer_hash{};
     std::string content_type{};
-    /// The answer's body when has_body.
+    /// The answer's body if has_body.
     std::string body{};
     bool has_body = false;
 
     friend bool operator==(const once_record&, const once_record&) = default;
 };
 
-/// Key of a row.
+/// Partition key and sort key of a table row.
 struct row_key
 {
     std::string pk;
@@ -50,10 +50,10 @@
     friend bool operator==(const row_key&, const row_key&) = default;
 };
 
-/// The row of a caller's key in its workspace.
+/// Key of the row for a caller's idempotency key in a workspace.
 row_key once_row_key(const base::workspace_id& workspace, std::string_view key);
 
-/// Recognises the same request. `path` with its query.
+/// Hash that is equal only for the same request. `path` includes the query.
 config::sha256_hex once_fingerprint(const base::workspace_id& workspace, std::string_view method,
                                     std::string_view path, std::string_view body);
 
--- a/src/libcaraway/attempts/ticket_registry.cpp
+++ b/src/libcaraway/attempts/ticket_registry.cpp
@@ -5,7 +5,7 @@
 
 std::string to_text(const ticket& value)
 {
-    // An attempt's form with the number in the request's place keeps one parser for both.
+    // The format of an attempt id, with the number in place of the request, needs only one parser.
     return to_text(attempt_id{
         .router = value.router, .request = base::request_number{value.number}, .count = 0});
 }
@@ -35,10 +35,10 @@
 base::result<ticket> ticket_registry::mint(const base::workspace_id& workspace,
                                            base::time_point now)
 {
-    drop_expired(now);
+    remove_expired(now);
     if (entries_.size() >= options_.capacity)
     {
-        return base::make_error(base::errc::resource_exhausted, "Too many tickets are out.");
+        return base::make_error(base::errc::resource_exhausted, "ticket registry is full");
     }
     const auto number = ++last_number_;
     auto& added = entries_[number];
@@ -50,7 +50,7 @@
 ticket_step ticket_registry::use(const ticket& value, const base::workspace_id& workspace,
                                  const config::sha256_hex& fingerprint, base::time_point now)
 {
-    drop_expired(now);
+    remove_expired(now);
     if (value.router.id != self_.id)
     {
         return redirect_to{value.router};
@@ -67,7 +67,7 @@
     }
     if (found->status != state::unused)
     {
-        return repeat(*found, fingerprint);
+        return evaluate_repeat(*found, fingerprint);
     }
     clear_expiry(value.number, *found);
     found->status = state::running;
@@ -116,10 +116,10 @@
     return position == entries_.end() ? nullptr : &position->second;
 }
 
-void ticket_registry::set_expiry(std::uint64_t number, entry& value, base::time_point when)
+void ticket_registry::set_expiry(std::uint64_t number, entry& value, base::time_point expiry)
 {
-    value.expires = when;
-    expiries_.emplace(when, number);
+    value.expires = expiry;
+    expiries_.emplace(expiry, number);
 }
 
 void ticket_registry::clear_expiry(std::uint64_t number, const entry& value)
@@ -127,7 +127,7 @@
     expiries_.erase({value.expires, number});
 }
 
-void ticket_registry::drop_expired(base::time_point now)
+void ticket_registry::remove_expired(base::time_point now)
 {
     while (!expiries_.empty() && expiries_.begin()->first <= now)
     {
@@ -136,7 +136,8 @@
     }
 }
 
-ticket_step ticket_registry::repeat(const entry& found, const config::sha256_hex& fingerprint) const
+ticket_step ticket_registry::evaluate_repeat(const entry& found,
+                                             const config::sha256_hex& fingerprint) const
 {
     if (found.fingerprint != fingerprint)
     {
--- a/src/libcaraway/attempts/ticket_registry.hpp
+++ b/src/libcaraway/attempts/ticket_registry.hpp
@@ -18,7 +18,7 @@
 namespace caraway::attempts
 {
 
-/// Names one call that the minting life of a router, and only it, will send at most once.
+/// Identifies one call, which only the issuing incarnation of a router sends, and at most once.
 struct ticket
 {
     base::node_ref router;
@@ -27,50 +27,51 @@
     friend bool operator==(const ticket&, const ticket&) = default;
 };
 
-/// `<node>.<life>.<number>.0`, an attempt's form.
+/// Formats the ticket as `<node>.<incarnation>.<number>.0`, the format of an attempt id.
 std::string to_text(const ticket& value);
 std::optional<ticket> parse_ticket(std::string_view text);
 
 struct ticket_options
 {
-    /// Tickets in memory at a time; minting more is refused.
+    /// Maximum number of tickets in memory; beyond it, no further ticket is issued.
     std::size_t capacity = 20000;
-    /// From minting; an unused ticket is void afterwards.
+    /// Time from issue after which an unused ticket becomes void.
     std::chrono::milliseconds unused_lifetime{60000};
-    /// From its call's end; afterwards the ticket is forgotten and its outcome unknown.
+    /// Time from the end of the call after which the ticket is removed and its outcome unknown.
     std::chrono::milliseconds result_retention{300000};
     std::size_t max_stored_body = 4096;
 };
 
-/// Whom the ticket belongs to is another router: the call goes there, or the caller is told where.
+/// The ticket was issued by another router: forward the call or redirect the caller to it.
 struct redirect_to
 {
     base::node_ref router;
     friend bool operator==(const redirect_to&, const redirect_to&) = default;
 };
 
-/// proceed: send now, this once.
+/// Result of using a ticket; `proceed`: send the call now, exactly this once.
 using ticket_step = std::variant<proceed, replay, refuse, redirect_to>;
 
-/// For a ticket of a life that has ended: if it was used, how that ended is lost.
+/// Error for a ticket of an ended incarnation: if the ticket was used, its outcome is lost.
 caller_error make_void_ticket_error();
 
-/// At most once from memory, without the store: tickets of one life of one router. With that life
-/// all its tickets are void.
+/// Runs calls at most once without the store. Holds the tickets of one incarnation of one router in
+/// memory; all of them become void when that incarnation ends.
 class ticket_registry
 {
 public:
     ticket_registry(ticket_options options, base::node_ref self);
 
-    /// resource_exhausted when the book is full.
+    /// Issues a ticket. Fails with resource_exhausted if the registry is full.
     base::result<ticket> mint(const base::workspace_id& workspace, base::time_point now);
 
-    /// `fingerprint` as of once_fingerprint(): a repeat must be the same request.
+    /// `fingerprint` is that of once_fingerprint(); using the ticket again requires the same
+    /// request.
     ticket_step use(const ticket& value, const base::workspace_id& workspace,
                     const config::sha256_hex& fingerprint, base::time_point now);
 
     void finish(const ticket& value, const once_answer& answer, base::time_point now);
-    /// not_run makes the ticket usable again; unknown is kept as the ticket's outcome.
+    /// not_run makes the ticket usable again; any other outcome is stored as unknown.
     void finish_without_answer(const ticket& value, outcome result, base::time_point now);
 
     std::size_t size() const
@@ -97,16 +98,16 @@
     };
 
     entry* find(const ticket& value);
-    void set_expiry(std::uint64_t number, entry& value, base::time_point when);
+    void set_expiry(std::uint64_t number, entry& value, base::time_point expiry);
     void clear_expiry(std::uint64_t number, const entry& value);
-    void drop_expired(base::time_point now);
-    ticket_step repeat(const entry& found, const config::sha256_hex& fingerprint) const;
+    void remove_expired(base::time_point now);
+    ticket_step evaluate_repeat(const entry& found, const config::sha256_hex& fingerprint) const;
 
     ticket_options options_;
     base::node_ref self_;
     std::uint64_t last_number_ = 0;
     std::unordered_map<std::uint64_t, entry> entries_;
-    /// Running entries have no expiry and aren't in here.
+    /// Entries by expiry. Running entries do not expire and are not included.
     std::set<std::pair<base::time_point, std::uint64_t>> expiries_;
 };
 
