--- a/tests/attempts/crash_test.cpp
+++ b/tests/attempts/crash_test.cpp
@@ -46,8 +46,8 @@
 
 BOOST_FIXTURE_TEST_SUITE(suspects, suspects_fixture)
 
-// Symptom: one request takes down upstream after upstream. Sequence: it crashes one, is retried or
-// sent again by its caller, and crashes the next. Cause: nobody charges the crash to it.
+// Guards against a request that crashes one upstream after another: it crashes the first one, is
+// retried or sent again by its caller, and crashes the next, because no crash is attributed to it.
 BOOST_AUTO_TEST_CASE(in_two_crashes_it_is_refused_and_its_neighbours_are_cleared)
 {
     crash(u1, {culprit, neighbour});
@@ -79,9 +79,9 @@
     BOOST_TEST(is(culprit, crash_verdict::quarantine));
 }
 
-// Symptom: an innocent request is refused. Sequence: it runs beside the culprit in both crashes.
-// Cause: two crashes taken for proof though another request was in both.
-BOOST_AUTO_TEST_CASE(twins_are_not_refused_until_a_crash_tells_them_apart)
+// Guards against refusing a harmless request that was in flight together with the culprit in both
+// crashes. Two crashes are no proof if another request was in flight in both.
+BOOST_AUTO_TEST_CASE(ambiguous_suspects_are_not_refused_until_a_crash_distinguishes_them)
 {
     crash(u1, {culprit, neighbour});
     crash(u2, {culprit, neighbour});
@@ -92,7 +92,7 @@
     BOOST_TEST(is(neighbour, crash_verdict::run));
 }
 
-BOOST_AUTO_TEST_CASE(twins_are_bounded_by_the_third_crash)
+BOOST_AUTO_TEST_CASE(ambiguous_suspects_are_refused_after_the_third_crash)
 {
     for (const auto& upstream : {u1, u2, u3})
     {
@@ -102,9 +102,9 @@
     BOOST_TEST(is(neighbour, crash_verdict::refuse));
 }
 
-// Symptom: a popular prompt is refused. Sequence: it is in flight at most upstreams at all times,
-// so also at those that crash. Cause: presence counted, and not that it ends well elsewhere.
-BOOST_AUTO_TEST_CASE(what_runs_to_its_end_is_cleared)
+// Guards against refusing a popular prompt: it is in flight at most upstreams at all times, so also
+// at those that crash. Counting crashes is not enough; the prompt completes at other upstreams.
+BOOST_AUTO_TEST_CASE(a_request_that_completes_is_cleared)
 {
     crash(u1, {culprit, neighbour});
     here.record_completed(neighbour, clock.now());
@@ -113,7 +113,7 @@
     BOOST_TEST(is(culprit, crash_verdict::refuse));
 }
 
-BOOST_AUTO_TEST_CASE(a_crash_under_a_refused_request_is_charged_to_nobody_else)
+BOOST_AUTO_TEST_CASE(a_crash_with_a_refused_request_in_flight_is_attributed_to_no_other_request)
 {
     crash(u1, {culprit}, true);
     crash(u2, {culprit, neighbour});
@@ -134,7 +134,7 @@
     BOOST_TEST(!here.quarantine_upstream(culprit, {}).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(what_others_tell_adds_up_and_is_not_kept_alive_by_telling)
+BOOST_AUTO_TEST_CASE(merged_entries_add_up_and_are_not_kept_alive_by_merging)
 {
     crash_suspects there;
     crash(u1, {culprit, neighbour});
@@ -161,13 +161,13 @@
     clock.advance(std::chrono::seconds(1));
     crash(u2, {culprit}, true);
     BOOST_TEST(here.size() == 2);
-    const auto told = here.entries(1, clock.now());
-    BOOST_TEST((told.at(0).fingerprint == culprit));
+    const auto listed = here.entries(1, clock.now());
+    BOOST_TEST((listed.at(0).fingerprint == culprit));
 }
 
-// Symptom: a request repeated by its caller kills more than a bounded number of upstreams.
-// Sequence: routers tell each other of crashes; each repeat reaches another router.
-BOOST_AUTO_TEST_CASE(a_caller_that_repeats_at_every_router_kills_two_upstreams)
+// Guards against a request that crashes an unbounded number of upstreams: its caller sends it again
+// to a different router each time. The routers exchange their suspects.
+BOOST_AUTO_TEST_CASE(a_caller_that_repeats_at_every_router_crashes_two_upstreams)
 {
     std::vector<crash_suspects> routers(5);
     std::set<std::string> live{"a", "b", "c", "d", "e"};
@@ -211,9 +211,9 @@
 
     detector_fixture()
     {
-        for (const auto each : {culprit, neighbour, other})
+        for (const auto fingerprint : {culprit, neighbour, other})
         {
-            detector.record_started(u1, each);
+            detector.record_started(u1, fingerprint);
         }
     }
     std::optional<upstream_crash> lose(request_fingerprint fingerprint)
@@ -222,17 +222,17 @@
     }
 };
 
-fingerprints sorted(fingerprints all)
+fingerprints sorted(fingerprints values)
 {
-    std::sort(all.begin(), all.end());
-    return all;
+    std::sort(values.begin(), values.end());
+    return values;
 }
 
 }  // namespace
 
 BOOST_FIXTURE_TEST_SUITE(detection, detector_fixture)
 
-BOOST_AUTO_TEST_CASE(several_losses_at_once_charge_all_in_flight_once)
+BOOST_AUTO_TEST_CASE(several_simultaneous_losses_report_all_requests_in_flight_once)
 {
     BOOST_TEST(!lose(culprit).has_value());
     const auto crash = lose(neighbour);
--- a/tests/attempts/fake_table.hpp
+++ b/tests/attempts/fake_table.hpp
@@ -8,11 +8,11 @@
 namespace caraway::attempts
 {
 
-/// One row with the table service's conditions.
+/// In-memory table with a single row and the conditional writes of the table service.
 class fake_table
 {
 public:
-    /// Whether the condition held, and so the write took effect.
+    /// Returns whether the condition was met and the write took effect.
     bool write(const once_step& step)
     {
         ++writes_;
@@ -62,7 +62,7 @@
     return std::holds_alternative<insert_row>(step) || std::holds_alternative<replace_row>(step);
 }
 
-/// Carries out steps, each with effect and reply, until one isn't a store action.
+/// Carries out store actions without faults until a step is no store action, and returns that step.
 inline once_step run(once_coordinator& call, fake_table& table, once_step step)
 {
     while (true)
--- a/tests/attempts/once_property_test.cpp
+++ b/tests/attempts/once_property_test.cpp
@@ -11,11 +11,12 @@
 namespace
 {
 
-/// One caller's copies of one keyed call, each at its own router, on a store with every fault.
-class faulty_world
+/// Copies of one call with the same idempotency key, each at its own router, on a store that loses
+/// replies, delays writes and is unavailable at times.
+class fault_simulation
 {
 public:
-    explicit faulty_world(std::size_t copies)
+    explicit fault_simulation(std::size_t copies)
     {
         for (std::size_t number = 0; number < copies; ++number)
         {
@@ -31,16 +32,16 @@
         }
     }
 
-    /// Lets one copy, a late write or a fault happen, as these random numbers say.
-    void turn(std::size_t which, int fault)
+    /// Advances one copy, applies a delayed write or injects a fault, chosen by the random numbers.
+    void run_turn(std::size_t copy_index, int fault)
     {
-        if (fault == 0 && !late_.empty())
+        if (fault == 0 && !delayed_writes_.empty())
         {
-            table_.write(late_.front());
-            late_.pop_front();
+            table_.write(delayed_writes_.front());
+            delayed_writes_.pop_front();
             return;
         }
-        auto& chosen = *copies_[which % copies_.size()];
+        auto& chosen = *copies_[copy_index % copies_.size()];
         if (chosen.crashed)
         {
             return;
@@ -51,7 +52,7 @@
         }
         else if (fault == 2)
         {
-            chosen.told_not_run = chosen.call.abandon() || chosen.told_not_run;
+            chosen.reported_not_run = chosen.call.abandon() || chosen.reported_not_run;
         }
         else
         {
@@ -63,17 +64,18 @@
     {
         return runs_;
     }
-    bool not_run_was_true() const
+    bool is_not_run_correct() const
     {
         return std::none_of(copies_.begin(), copies_.end(),
-                            [](const auto& one) { return one->told_not_run && one->ran; });
+                            [](const auto& target)
+                            { return target->reported_not_run && target->ran; });
     }
 
 private:
     struct copy
     {
-        copy(once_options options, once_call which, once_coordinator::holder_lookup holder)
-            : call(options, std::move(which), std::move(holder))
+        copy(once_options options, once_call call_data, once_coordinator::holder_lookup holder)
+            : call(options, std::move(call_data), std::move(holder))
         {
         }
 
@@ -82,37 +84,37 @@
         bool crashed = false;
         bool proceeded = false;
         bool ran = false;
-        bool told_not_run = false;
+        bool reported_not_run = false;
     };
 
     holder_state state_of(const attempt_id& holder) const
     {
         const auto number = std::stoul(holder.router.id.str().substr(1));
-        const auto& one = *copies_[number];
-        if (one.told_not_run && !one.proceeded && !one.crashed)
+        const auto& target = *copies_[number];
+        if (target.reported_not_run && !target.proceeded && !target.crashed)
         {
             return holder_state::not_sent;
         }
-        return one.crashed ? holder_state::gone : holder_state::running;
+        return target.crashed ? holder_state::gone : holder_state::running;
     }
 
-    void advance(copy& one, int fault)
+    void advance(copy& target, int fault)
     {
-        if (is_write(one.step))
+        if (is_write(target.step))
         {
-            one.step = one.call.on_write(write_with(one.step, fault));
+            target.step = target.call.on_write(write_with(target.step, fault));
         }
-        else if (std::holds_alternative<read_row>(one.step))
+        else if (std::holds_alternative<read_row>(target.step))
         {
-            one.step = one.call.on_read(fault == 3 ? read_reply{} : table_.read());
+            target.step = target.call.on_read(fault == 3 ? read_reply{} : table_.read());
         }
-        else if (std::holds_alternative<proceed>(one.step))
+        else if (std::holds_alternative<proceed>(target.step))
         {
-            send(one, fault);
+            send(target, fault);
         }
-        else if (const auto* const refusal = std::get_if<refuse>(&one.step))
+        else if (const auto* const refusal = std::get_if<refuse>(&target.step))
         {
-            one.told_not_run = refusal->error.result == outcome::not_run;
+            target.reported_not_run = refusal->error.result == outcome::not_run;
         }
     }
 
@@ -123,7 +125,7 @@
         case 3:
             return write_reply::unavailable;
         case 4:
-            late_.push_back(step);
+            delayed_writes_.push_back(step);
             return write_reply::unknown_effect;
         case 5:
             table_.write(step);
@@ -133,24 +135,24 @@
         }
     }
 
-    void send(copy& one, int fault)
+    void send(copy& target, int fault)
     {
-        one.proceeded = true;
+        target.proceeded = true;
         if (fault == 3)
         {
-            one.told_not_run = true;
-            one.step = one.call.finish_without_answer(outcome::not_run);
+            target.reported_not_run = true;
+            target.step = target.call.finish_without_answer(outcome::not_run);
             return;
         }
-        one.ran = true;
+        target.ran = true;
         ++runs_;
-        one.step = fault == 4 ? one.call.finish_without_answer(outcome::unknown)
-                              : one.call.finish({.status = 200});
+        target.step = fault == 4 ? target.call.finish_without_answer(outcome::unknown)
+                                 : target.call.finish({.status = 200});
     }
 
     fake_table table_;
     std::vector<std::unique_ptr<copy>> copies_;
-    std::deque<once_step> late_;
+    std::deque<once_step> delayed_writes_;
     int runs_ = 0;
 };
 
@@ -158,18 +160,18 @@
 
 BOOST_AUTO_TEST_SUITE(once_properties)
 
-BOOST_AUTO_TEST_CASE(whatever_is_lost_late_or_crashed_a_key_runs_at_most_once)
+BOOST_AUTO_TEST_CASE(a_key_runs_at_most_once_despite_losses_delays_and_crashes)
 {
     const auto holds = [](const std::vector<std::pair<std::uint8_t, std::uint8_t>>& turns)
     {
-        constexpr int kinds_of_turn = 12;
-        faulty_world world(3);
-        for (const auto& [which, fault] : turns)
+        constexpr int turn_kinds = 12;
+        fault_simulation simulation(3);
+        for (const auto& [copy_index, fault] : turns)
         {
-            world.turn(which, fault % kinds_of_turn);
+            simulation.run_turn(copy_index, fault % turn_kinds);
         }
-        RC_ASSERT(world.runs() <= 1);
-        RC_ASSERT(world.not_run_was_true());
+        RC_ASSERT(simulation.runs() <= 1);
+        RC_ASSERT(simulation.is_not_run_correct());
     };
     BOOST_TEST(rc::check("a key runs at most once", holds));
 }
--- a/tests/attempts/once_test.cpp
+++ b/tests/attempts/once_test.cpp
@@ -15,7 +15,7 @@
 const row_key key = once_row_key(workspace, "pay-77");
 const once_answer paid{.status = 201, .content_type = "application/json", .body = R"({"n":1})"};
 
-/// Calls with one key from two routers, and the row.
+/// Calls with one idempotency key from several routers, and the table row of that key.
 struct key_fixture
 {
     fake_table table;
@@ -80,7 +80,7 @@
     BOOST_TEST(table.reads() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(a_large_answer_is_not_kept_but_said_to_be_done)
+BOOST_AUTO_TEST_CASE(a_large_answer_is_not_stored_but_reported_as_done)
 {
     auto first = sending("r1");
     run(first, table, first.finish({.status = 200, .body = std::string(5000, 'x')}));
@@ -88,9 +88,9 @@
     BOOST_TEST(table.record().answer_hash == sha256(std::string(5000, 'x')));
 }
 
-// Symptom: a doubled payment. Sequence: the caller repeats its key at another router while the
-// first one waits for the upstream, or after that router died. Cause: a claim taken over from a
-// holder that may have sent.
+// Guards against a call that runs twice: the caller repeats its key at another router while the
+// first router waits for the upstream, or after the first router crashed. Taking over the claim of
+// a holder that may have sent the call would send it again.
 BOOST_AUTO_TEST_CASE(a_started_claim_is_never_taken_over)
 {
     const auto first = sending("r1");
@@ -101,73 +101,75 @@
     BOOST_TEST((table.record().holder.router.id == base::node_id("r1")));
 }
 
-// Symptom: a call is refused for good, or sent without a claim, after the insert's reply is lost.
-// Cause: the reply taken for success or for failure; only the row tells.
+// Guards against a call that is refused permanently, or sent without a claim, after the reply to
+// the insert was lost. A lost reply means neither success nor failure; only the row shows the
+// result.
 BOOST_AUTO_TEST_CASE(a_lost_reply_of_the_claim_is_resolved_by_reading_the_holder)
 {
-    auto ours = call("r1");
-    table.write(ours.start());
-    BOOST_TEST(std::holds_alternative<read_row>(ours.on_write(write_reply::unknown_effect)));
-    BOOST_TEST((ours.on_read(table.read()) == once_step(proceed{})));
-
-    auto theirs = call("r2");
-    theirs.start();
-    theirs.on_write(write_reply::unknown_effect);
-    expect_refusal(theirs.on_read(table.read()), error_code::in_progress, outcome::unknown);
+    auto own_call = call("r1");
+    table.write(own_call.start());
+    BOOST_TEST(std::holds_alternative<read_row>(own_call.on_write(write_reply::unknown_effect)));
+    BOOST_TEST((own_call.on_read(table.read()) == once_step(proceed{})));
+
+    auto other_call = call("r2");
+    other_call.start();
+    other_call.on_write(write_reply::unknown_effect);
+    expect_refusal(other_call.on_read(table.read()), error_code::in_progress, outcome::unknown);
 }
 
-// Sequence: the insert's reply is lost, the row isn't there yet, the insert lands afterwards.
-BOOST_AUTO_TEST_CASE(an_insert_that_lands_late_is_still_our_claim)
+// The reply to the insert is lost, the row is still absent when it is read, and the insert takes
+// effect afterwards.
+BOOST_AUTO_TEST_CASE(an_insert_that_takes_effect_late_is_still_a_valid_claim)
 {
-    auto ours = call("r1");
-    const auto insert = ours.start();
-    ours.on_write(write_reply::unknown_effect);
-    const auto again = ours.on_read(table.read());
+    auto own_call = call("r1");
+    const auto insert = own_call.start();
+    own_call.on_write(write_reply::unknown_effect);
+    const auto again = own_call.on_read(table.read());
     BOOST_TEST(std::holds_alternative<insert_row>(again));
     table.write(insert);
-    BOOST_TEST((run(ours, table, again) == once_step(proceed{})));
+    BOOST_TEST((run(own_call, table, again) == once_step(proceed{})));
 }
 
-BOOST_AUTO_TEST_CASE(with_the_store_out_nothing_is_sent)
+BOOST_AUTO_TEST_CASE(nothing_is_sent_while_the_store_is_unavailable)
 {
-    auto ours = call("r1");
-    ours.start();
-    const auto step = ours.on_write(write_reply::unavailable);
+    auto own_call = call("r1");
+    own_call.start();
+    const auto step = own_call.on_write(write_reply::unavailable);
     expect_refusal(step, error_code::store_unavailable, outcome::not_run);
     BOOST_TEST(std::get<refuse>(step).error.retry_after.has_value());
-    BOOST_TEST(!ours.may_send());
-    BOOST_TEST((ours.on_write(write_reply::ok) == once_step(settled{})));
+    BOOST_TEST(!own_call.may_send());
+    BOOST_TEST((own_call.on_write(write_reply::ok) == once_step(settled{})));
 }
 
-BOOST_AUTO_TEST_CASE(a_store_that_never_replies_is_asked_a_bounded_number_of_times)
+BOOST_AUTO_TEST_CASE(a_store_that_never_replies_is_called_a_bounded_number_of_times)
 {
-    auto ours = call("r1");
-    auto step = ours.start();
+    auto own_call = call("r1");
+    auto step = own_call.start();
     int calls = 0;
     for (; calls < 100 && !std::holds_alternative<refuse>(step); ++calls)
     {
-        step = is_write(step) ? ours.on_write(write_reply::unknown_effect)
-                              : ours.on_read({read_status::absent, {}});
+        step = is_write(step) ? own_call.on_write(write_reply::unknown_effect)
+                              : own_call.on_read({read_status::absent, {}});
     }
     BOOST_TEST(calls == 6);
     expect_refusal(step, error_code::store_unavailable, outcome::not_run);
 }
 
-// Symptom: a call runs after its caller was told "not run". Sequence: the caller's deadline passes
-// while the claim's reply is under way; the reply comes and the call is sent.
+// Guards against a call that runs although its caller got "not run": the caller's deadline passes
+// while the reply to the claim is pending, and the call is sent once the reply is received.
 BOOST_AUTO_TEST_CASE(an_abandoned_claim_is_released_and_never_sent)
 {
-    auto ours = call("r1");
-    const auto insert = ours.start();
-    BOOST_TEST(ours.abandon());
+    auto own_call = call("r1");
+    const auto insert = own_call.start();
+    BOOST_TEST(own_call.abandon());
     table.write(insert);
-    const auto step = ours.on_write(write_reply::ok);
+    const auto step = own_call.on_write(write_reply::ok);
     BOOST_TEST(std::holds_alternative<replace_row>(step));
-    BOOST_TEST((run(ours, table, step) == once_step(settled{})));
+    BOOST_TEST((run(own_call, table, step) == once_step(settled{})));
     BOOST_TEST((repeat("r2") == once_step(proceed{})));
 }
 
-BOOST_AUTO_TEST_CASE(a_call_that_was_not_sent_lets_go_of_its_key_for_the_same_request_only)
+BOOST_AUTO_TEST_CASE(a_call_that_was_not_sent_releases_its_key_for_the_same_request_only)
 {
     auto first = sending("r1");
     run(first, table, first.finish_without_answer(outcome::not_run));
@@ -184,8 +186,8 @@
     expect_refusal(repeat("r2"), error_code::outcome_unknown, outcome::unknown);
 }
 
-// Symptom: a finished call reads "in progress" for good. Sequence: the store is out when the end
-// is recorded; a write takes effect and its reply is lost.
+// Guards against a finished call that stays "in progress": the store is unavailable when the end is
+// recorded, and then a write takes effect but its reply is lost.
 BOOST_AUTO_TEST_CASE(the_end_is_recorded_through_outage_and_lost_reply)
 {
     auto first = sending("r1");
@@ -207,25 +209,26 @@
     expect_refusal(repeat("r1"), error_code::outcome_unknown, outcome::unknown);
 }
 
-BOOST_AUTO_TEST_CASE(holders_of_this_life_are_told_from_memory)
+BOOST_AUTO_TEST_CASE(holders_of_this_incarnation_are_looked_up_in_memory)
 {
     const base::node_ref self{base::node_id("r1"), base::incarnation{4}};
-    const base::node_ref past{base::node_id("r1"), base::incarnation{3}};
-    claim_tracker book({.max_not_sent = 1}, self,
-                       [&](const base::node_ref& life) { return life.id == base::node_id("r2"); });
-    const auto state = [&](const base::node_ref& life, std::uint64_t number)
+    const base::node_ref previous{base::node_id("r1"), base::incarnation{3}};
+    claim_tracker tracker({.max_not_sent = 1}, self,
+                          [&](const base::node_ref& holder_router)
+                          { return holder_router.id == base::node_id("r2"); });
+    const auto state = [&](const base::node_ref& holder_router, std::uint64_t number)
     {
-        return book.state({.router = life, .request = base::request_number{number}});
+        return tracker.state({.router = holder_router, .request = base::request_number{number}});
     };
-    book.begin(base::request_number{1});
-    book.begin(base::request_number{2});
+    tracker.begin(base::request_number{1});
+    tracker.begin(base::request_number{2});
     BOOST_TEST((state(self, 1) == holder_state::running));
-    book.give_up(base::request_number{1});
+    tracker.give_up(base::request_number{1});
     BOOST_TEST((state(self, 1) == holder_state::not_sent));
-    BOOST_TEST((state(past, 1) == holder_state::gone));
-    book.give_up(base::request_number{2});
+    BOOST_TEST((state(previous, 1) == holder_state::gone));
+    tracker.give_up(base::request_number{2});
     BOOST_TEST((state(self, 1) == holder_state::gone));
-    book.end(base::request_number{2});
+    tracker.end(base::request_number{2});
     BOOST_TEST((state(self, 2) == holder_state::not_sent));
     BOOST_TEST((state({base::node_id("r2"), base::incarnation{9}}, 1) == holder_state::running));
 }
@@ -235,21 +238,21 @@
 namespace
 {
 
-/// One router's book on a clock.
-struct book_fixture
+/// The ticket registry of one router with a manual clock.
+struct registry_fixture
 {
     base::manual_clock clock;
     base::node_ref self{base::node_id("r1"), base::incarnation{2}};
-    ticket_registry book{{.capacity = 2}, self};
+    ticket_registry registry{{.capacity = 2}, self};
     config::sha256_hex request = once_fingerprint(workspace, "POST", "/pay", "100 taka");
 
-    ticket minted()
+    ticket mint()
     {
-        return book.mint(workspace, clock.now()).value();
+        return registry.mint(workspace, clock.now()).value();
     }
     ticket_step use(const ticket& value)
     {
-        return book.use(value, workspace, request, clock.now());
+        return registry.use(value, workspace, request, clock.now());
     }
 };
 
@@ -262,55 +265,57 @@
 
 }  // namespace
 
-BOOST_FIXTURE_TEST_SUITE(tickets, book_fixture)
+BOOST_FIXTURE_TEST_SUITE(tickets, registry_fixture)
 
 BOOST_AUTO_TEST_CASE(a_ticket_sends_once_and_replays_afterwards)
 {
-    const auto value = minted();
+    const auto value = mint();
     BOOST_TEST((parse_ticket(to_text(value)) == value));
     BOOST_TEST((use(value) == ticket_step(proceed{})));
     expect_refusal(use(value), error_code::in_progress);
-    book.finish(value, paid, clock.now());
+    registry.finish(value, paid, clock.now());
     BOOST_TEST((use(value) == ticket_step(replay{201, "application/json", R"({"n":1})"})));
     request = once_fingerprint(workspace, "POST", "/pay", "200 taka");
     expect_refusal(use(value), error_code::key_reused);
     request.clear();
-    expect_refusal(book.use(value, base::workspace_id("x"), request, clock.now()),
+    expect_refusal(registry.use(value, base::workspace_id("x"), request, clock.now()),
                    error_code::permission_denied);
 }
 
-// Symptom: a doubled payment after a restart. Sequence: a ticket is used, the router restarts, the
-// caller uses it again. Cause: the new life took an earlier life's ticket for an unused one.
-BOOST_AUTO_TEST_CASE(a_ticket_of_another_life_is_void_and_of_another_router_is_sent_there)
+// Guards against a call that runs twice after a restart: a ticket is used, the router restarts, and
+// the caller uses the ticket again. The new incarnation must not treat the ticket of an earlier one
+// as unused.
+BOOST_AUTO_TEST_CASE(a_ticket_of_another_incarnation_is_void_and_of_another_router_is_redirected)
 {
-    minted();
-    const ticket past{.router = {self.id, base::incarnation{1}}, .number = 1};
+    mint();
+    const ticket previous{.router = {self.id, base::incarnation{1}}, .number = 1};
     const ticket other{.router = {base::node_id("r2"), base::incarnation{1}}, .number = 1};
-    expect_refusal(use(past), error_code::ticket_void);
+    expect_refusal(use(previous), error_code::ticket_void);
     BOOST_TEST((use(other) == ticket_step(redirect_to{other.router})));
 }
 
 BOOST_AUTO_TEST_CASE(tickets_are_bounded_and_expire_but_not_while_they_run)
 {
-    const auto unused = minted();
-    const auto used = minted();
+    const auto unused = mint();
+    const auto used = mint();
     use(used);
-    BOOST_TEST((book.mint(workspace, clock.now()).error().code == base::errc::resource_exhausted));
+    BOOST_TEST(
+        (registry.mint(workspace, clock.now()).error().code == base::errc::resource_exhausted));
     clock.advance(std::chrono::hours(1));
     expect_refusal(use(unused), error_code::ticket_void);
     expect_refusal(use(used), error_code::in_progress);
-    book.finish_without_answer(used, outcome::unknown, clock.now());
+    registry.finish_without_answer(used, outcome::unknown, clock.now());
     expect_refusal(use(used), error_code::outcome_unknown);
     clock.advance(std::chrono::minutes(5));
     expect_refusal(use(used), error_code::ticket_void);
-    BOOST_TEST(book.size() == 0);
+    BOOST_TEST(registry.size() == 0);
 }
 
 BOOST_AUTO_TEST_CASE(a_call_that_was_not_sent_leaves_its_ticket_usable)
 {
-    const auto value = minted();
+    const auto value = mint();
     use(value);
-    book.finish_without_answer(value, outcome::not_run, clock.now());
+    registry.finish_without_answer(value, outcome::not_run, clock.now());
     BOOST_TEST((use(value) == ticket_step(proceed{})));
 }
 
--- a/tests/attempts/retry_test.cpp
+++ b/tests/attempts/retry_test.cpp
@@ -12,7 +12,7 @@
 const base::upstream_id first_upstream{"u1"};
 const base::upstream_id second_upstream{"u2"};
 
-/// One request, its record and what the policy is told.
+/// One request, its attempts and the situation that the policy decides on.
 struct request_fixture
 {
     base::manual_clock clock;
@@ -70,9 +70,9 @@
 
 BOOST_FIXTURE_TEST_SUITE(retries, request_fixture)
 
-// Symptom: a payment is charged twice. Sequence: the upstream reads the call, runs it and closes
-// the connection; the router sends it to the next upstream. Cause: a lost answer taken for a call
-// that did not run.
+// Guards against a call that runs twice: the upstream runs the call and closes the connection, and
+// the router sends the call to the next upstream. A lost answer does not mean that the call did not
+// run.
 BOOST_AUTO_TEST_CASE(a_lost_answer_of_a_non_idempotent_call_is_final_and_unknown)
 {
     expect_final(after(end_kind::lost), 502, error_code::upstream_lost, outcome::unknown);
@@ -83,7 +83,7 @@
     expect_final(after(end_kind::timed_out), 504, error_code::upstream_timeout, outcome::unknown);
 }
 
-BOOST_AUTO_TEST_CASE(what_was_not_sent_is_sent_elsewhere_and_then_not_run)
+BOOST_AUTO_TEST_CASE(a_request_that_was_not_sent_is_retried_elsewhere_and_then_not_run)
 {
     BOOST_TEST(is_retry_avoiding(after(end_kind::refused), first_upstream));
     BOOST_TEST(is_retry_avoiding(after(end_kind::not_sent, 0, second_upstream), second_upstream));
@@ -91,8 +91,8 @@
                  outcome::not_run);
 }
 
-// Symptom: a caller is told "not run" of a call that ran. Sequence: the first attempt's answer is
-// lost, the retry is refused. Cause: judging by the last attempt alone.
+// Guards against reporting "not run" for a call that ran: the answer to the first attempt is lost
+// and the retry is refused. The outcome must not depend on the last attempt alone.
 BOOST_AUTO_TEST_CASE(a_refused_retry_does_not_undo_a_lost_attempt)
 {
     situation.idempotent = true;
@@ -111,16 +111,17 @@
                  outcome::unknown);
 }
 
-BOOST_AUTO_TEST_CASE(nothing_is_sent_for_a_caller_that_went_away)
+BOOST_AUTO_TEST_CASE(nothing_is_sent_for_a_caller_that_disconnected)
 {
     situation.idempotent = true;
     situation.caller_present = false;
     BOOST_TEST(std::holds_alternative<final_answer>(after(end_kind::refused)));
 }
 
-// Symptom: an answer that mixes two upstreams'. Sequence: bytes go out, the upstream is lost, the
-// request is sent again and its answer follows the first bytes. Cause: a retry after bytes.
-BOOST_AUTO_TEST_CASE(after_bytes_a_stream_resumes_or_breaks_off)
+// Guards against an answer that mixes the answers of two upstreams: bytes are relayed, the upstream
+// is lost, and the request is sent again although bytes were relayed, so that the second answer
+// follows the first bytes.
+BOOST_AUTO_TEST_CASE(after_bytes_were_relayed_a_stream_is_resumed_or_aborted)
 {
     situation.idempotent = true;
     situation.bytes_sent_to_caller = 900;
@@ -143,18 +144,18 @@
     BOOST_TEST((after(end_kind::answered, 404) == retry_decision(deliver{})));
 }
 
-// Symptom: a caller gets an answer that isn't its own. Sequence: an attempt is given up, a second
-// one runs, the first one's answer arrives. Cause: matching by request in place of attempt.
-BOOST_AUTO_TEST_CASE(a_late_end_of_an_earlier_attempt_or_life_is_dropped)
+// Guards against relaying a stale answer: an attempt is given up, a second one runs, and then the
+// answer to the first one arrives. Answers are matched by attempt, not by request.
+BOOST_AUTO_TEST_CASE(a_late_end_of_an_earlier_attempt_or_incarnation_is_dropped)
 {
     after(end_kind::timed_out);
     const auto second = record.begin(second_upstream);
     auto first = second;
     first.count = 1;
-    auto earlier_life = second;
-    earlier_life.router.life = base::incarnation{6};
+    auto earlier_incarnation = second;
+    earlier_incarnation.router.life = base::incarnation{6};
     BOOST_TEST(!record.end(first, {.kind = end_kind::answered, .status = 200}, 0));
-    BOOST_TEST(!record.end(earlier_life, {.kind = end_kind::answered, .status = 200}, 0));
+    BOOST_TEST(!record.end(earlier_incarnation, {.kind = end_kind::answered, .status = 200}, 0));
     BOOST_TEST(record.is_running(second));
     BOOST_TEST(name(record.overall_outcome()) == "unknown");
 }
@@ -163,7 +164,7 @@
 
 BOOST_AUTO_TEST_SUITE(texts)
 
-BOOST_AUTO_TEST_CASE(attempt_ids_survive_their_text_and_nothing_else_is_read)
+BOOST_AUTO_TEST_CASE(attempt_ids_round_trip_and_other_texts_are_rejected)
 {
     const attempt_id id{.router = {base::node_id("zone-a.r1"), base::incarnation{1764699000123}},
                         .request = base::request_number{42},
@@ -203,7 +204,7 @@
 
 BOOST_AUTO_TEST_SUITE(calls)
 
-BOOST_AUTO_TEST_CASE(rules_go_before_methods_and_match_whole_segments)
+BOOST_AUTO_TEST_CASE(rules_take_precedence_over_methods_and_match_whole_segments)
 {
     const auto service = payments();
     BOOST_TEST(is_idempotent(service, "GET", "/receipts/4"));
@@ -215,9 +216,9 @@
     BOOST_TEST(is_idempotent(config::service{}, "POST", "/v1/chat/completions"));
 }
 
-// Symptom: GET /confirm, which may not be repeated, is repeated. Sequence: it is written as
-// /%63onfirm or /a/../confirm, which the upstream takes for /confirm. Cause: no rule matched.
-BOOST_AUTO_TEST_CASE(a_path_that_can_be_read_otherwise_is_not_idempotent)
+// Guards against repeating GET /confirm, which is not idempotent, when it is written as /%63onfirm
+// or /a/../confirm: the upstream reads these as /confirm, but no rule matches them.
+BOOST_AUTO_TEST_CASE(an_ambiguous_path_is_not_idempotent)
 {
     for (const char* path : {"/%63onfirm", "/a/../confirm", "//confirm", "/confirm;a", "\\confirm"})
     {
