--- a/src/libcaraway/attempts/once_coordinator.cpp
+++ b/src/libcaraway/attempts/once_coordinator.cpp
@@ -241,8 +241,9 @@
     }
     if (found.fingerprint != call_.fingerprint)
     {
-        return close_with(refuse{make_caller_error(
-            error_code::key_reused, "This idempotency key was used with a different request.")});
+        return close_with(refuse{
+            make_caller_error(error_code::key_reused,
+                              "This idempotency key was used with a different request before.")});
     }
     switch (found.state)
     {
@@ -274,7 +275,7 @@
             options_.retry_after)});
     }
     return close_with(refuse_unknown("The call with this idempotency key was started by a router "
-                                     "that did not record its result."));
+                                     "that did not record its end."));
 }
 
 once_step once_coordinator::begin_record()
--- a/src/libcaraway/attempts/ticket_registry.cpp
+++ b/src/libcaraway/attempts/ticket_registry.cpp
@@ -22,9 +22,9 @@
 
 caller_error make_void_ticket_error()
 {
-    return make_caller_error(
-        error_code::ticket_void,
-        "This ticket is no longer valid. If a request with it was sent, its outcome is unknown.");
+    return make_caller_error(error_code::ticket_void,
+                             "This ticket is no longer valid. If a request with it was sent "
+                             "before, its outcome is unknown.");
 }
 
 ticket_registry::ticket_registry(ticket_options options, base::node_ref self)
@@ -142,7 +142,7 @@
     if (found.fingerprint != fingerprint)
     {
         return refuse{make_caller_error(error_code::key_reused,
-                                        "This ticket was used with a different request.")};
+                                        "This ticket was used with a different request before.")};
     }
     if (found.status == state::running)
     {
