--- a/src/libcaraway/attempts/ticket_book.cpp
+++ b/src/libcaraway/attempts/ticket_registry.cpp
@@ -1,11 +1,11 @@
-#include "libcaraway/attempts/ticket_book.hpp"
+#include "libcaraway/attempts/ticket_registry.hpp"
 
 namespace caraway::attempts
 {
 
 std::string to_text(const ticket& value)
 {
-    // An attempt's form with the number in the request's place keeps one parser for both.
+    // The format of an attempt id, with the number in place of the request, needs only one parser.
     return to_text(attempt_id{
         .router = value.router, .request = base::request_number{value.number}, .count = 0});
 }
@@ -20,44 +20,45 @@
     return ticket{.router = id->router, .number = static_cast<std::uint64_t>(id->request)};
 }
 
-caller_error void_ticket()
+caller_error make_void_ticket_error()
 {
-    return make_caller_error(
-        error_code::ticket_void,
-        "This ticket is void. If a request with it was sent before, its outcome is unknown.");
+    return make_caller_error(error_code::ticket_void,
+                             "This ticket is no longer valid. If a request with it was sent "
+                             "before, its outcome is unknown.");
 }
 
-ticket_book::ticket_book(ticket_options options, base::node_ref self)
+ticket_registry::ticket_registry(ticket_options options, base::node_ref self)
     : options_(options), self_(std::move(self))
 {
 }
 
-base::result<ticket> ticket_book::mint(const base::workspace_id& workspace, base::time_point now)
+base::result<ticket> ticket_registry::mint(const base::workspace_id& workspace,
+                                           base::time_point now)
 {
-    drop_expired(now);
+    remove_expired(now);
     if (entries_.size() >= options_.capacity)
     {
-        return base::make_error(base::errc::resource_exhausted, "Too many tickets are out.");
+        return base::make_error(base::errc::resource_exhausted, "ticket registry is full");
     }
     const auto number = ++last_number_;
     auto& added = entries_[number];
     added.workspace = workspace;
-    set_expiry(number, added, now + options_.unused_for);
+    set_expiry(number, added, now + options_.unused_lifetime);
     return ticket{.router = self_, .number = number};
 }
 
-ticket_step ticket_book::use(const ticket& value, const base::workspace_id& workspace,
-                             const config::sha256_hex& fingerprint, base::time_point now)
+ticket_step ticket_registry::use(const ticket& value, const base::workspace_id& workspace,
+                                 const config::sha256_hex& fingerprint, base::time_point now)
 {
-    drop_expired(now);
+    remove_expired(now);
     if (value.router.id != self_.id)
     {
-        return belongs_to{value.router};
+        return redirect_to{value.router};
     }
     auto* const found = find(value);
     if (found == nullptr)
     {
-        return refuse{void_ticket()};
+        return refuse{make_void_ticket_error()};
     }
     if (found->workspace != workspace)
     {
@@ -66,7 +67,7 @@
     }
     if (found->status != state::unused)
     {
-        return repeat(*found, fingerprint);
+        return evaluate_repeat(*found, fingerprint);
     }
     clear_expiry(value.number, *found);
     found->status = state::running;
@@ -74,7 +75,7 @@
     return proceed{};
 }
 
-void ticket_book::finish(const ticket& value, const once_answer& answer, base::time_point now)
+void ticket_registry::finish(const ticket& value, const once_answer& answer, base::time_point now)
 {
     auto* const found = find(value);
     if (found == nullptr || found->status != state::running)
@@ -88,10 +89,11 @@
     {
         found->answer.body = sha256(answer.body);
     }
-    set_expiry(value.number, *found, now + options_.kept_for);
+    set_expiry(value.number, *found, now + options_.result_retention);
 }
 
-void ticket_book::finish_without_answer(const ticket& value, outcome result, base::time_point now)
+void ticket_registry::finish_without_answer(const ticket& value, outcome result,
+                                            base::time_point now)
 {
     auto* const found = find(value);
     if (found == nullptr || found->status != state::running)
@@ -100,10 +102,11 @@
     }
     const bool not_run = result == outcome::not_run;
     found->status = not_run ? state::unused : state::unknown;
-    set_expiry(value.number, *found, now + (not_run ? options_.unused_for : options_.kept_for));
+    set_expiry(value.number, *found,
+               now + (not_run ? options_.unused_lifetime : options_.result_retention));
 }
 
-ticket_book::entry* ticket_book::find(const ticket& value)
+ticket_registry::entry* ticket_registry::find(const ticket& value)
 {
     if (value.router != self_)
     {
@@ -113,18 +116,18 @@
     return position == entries_.end() ? nullptr : &position->second;
 }
 
-void ticket_book::set_expiry(std::uint64_t number, entry& value, base::time_point when)
+void ticket_registry::set_expiry(std::uint64_t number, entry& value, base::time_point expiry)
 {
-    value.expires = when;
-    expiries_.emplace(when, number);
+    value.expires = expiry;
+    expiries_.emplace(expiry, number);
 }
 
-void ticket_book::clear_expiry(std::uint64_t number, const entry& value)
+void ticket_registry::clear_expiry(std::uint64_t number, const entry& value)
 {
     expiries_.erase({value.expires, number});
 }
 
-void ticket_book::drop_expired(base::time_point now)
+void ticket_registry::remove_expired(base::time_point now)
 {
     while (!expiries_.empty() && expiries_.begin()->first <= now)
     {
@@ -133,23 +136,24 @@
     }
 }
 
-ticket_step ticket_book::repeat(const entry& found, const config::sha256_hex& fingerprint) const
+ticket_step ticket_registry::evaluate_repeat(const entry& found,
+                                             const config::sha256_hex& fingerprint) const
 {
     if (found.fingerprint != fingerprint)
     {
         return refuse{make_caller_error(error_code::key_reused,
-                                        "This ticket was used with another request before.")};
+                                        "This ticket was used with a different request before.")};
     }
     if (found.status == state::running)
     {
         return refuse{make_caller_error(error_code::in_progress,
-                                        "The request with this ticket is under way.",
+                                        "The request with this ticket is in flight.",
                                         std::chrono::seconds(1))};
     }
     if (found.status == state::unknown)
     {
         return refuse{make_caller_error(error_code::outcome_unknown,
-                                        "The request with this ticket was sent and its answer was "
+                                        "The request with this ticket was sent, but its answer was "
                                         "lost.")};
     }
     if (found.has_body)
@@ -159,7 +163,7 @@
                       .body = found.answer.body};
     }
     return refuse{make_caller_error(error_code::already_done,
-                                    "This ticket's request was answered with status " +
+                                    "The request with this ticket was answered with status " +
                                         std::to_string(found.answer.status) +
                                         "; the answer's SHA-256 is " + found.answer.body + ".")};
 }
--- a/src/libcaraway/http/whole_call.cpp
+++ b/src/libcaraway/http/buffered_call.cpp
@@ -1,4 +1,4 @@
-#include "libcaraway/http/whole_call.hpp"
+#include "libcaraway/http/buffered_call.hpp"
 
 #include <boost/beast/core/buffers_to_string.hpp>
 #include <boost/beast/http/serializer.hpp>
@@ -12,17 +12,17 @@
 
 namespace beast_http = boost::beast::http;
 
-/// Whole answers of the store hold a megabyte at most.
-constexpr std::size_t max_body = 8U << 20U;
+/// Bytes; the store's answers have at most 1 MB. Body parts that would exceed this are discarded.
+constexpr std::size_t max_body_bytes = 8U << 20U;
 
 }  // namespace
 
-whole_caller::whole_caller(boost::asio::io_context& loop, timer_queue& timers)
+buffered_caller::buffered_caller(boost::asio::io_context& loop, timer_queue& timers)
     : loop_(loop), timers_(timers)
 {
 }
 
-whole_caller::~whole_caller()
+buffered_caller::~buffered_caller()
 {
     timers_.cancel(deadline_);
     if (connection_)
@@ -31,8 +31,8 @@
     }
 }
 
-void whole_caller::call(const routing::endpoint& to, std::string request,
-                        std::chrono::milliseconds timeout, done action)
+void buffered_caller::call(const routing::endpoint& to, std::string request,
+                           std::chrono::milliseconds timeout, done action)
 {
     done_ = std::move(action);
     answer_ = {};
@@ -50,7 +50,8 @@
         [this]
         {
             connection_->close();
-            finish(base::make_error(base::errc::unknown_effect, "No answer in time."));
+            finish(base::make_error(base::errc::unknown_effect,
+                                    "No complete answer was received within the time-out."));
         });
     connection_->call(
         to, std::move(request), false,
@@ -58,22 +59,23 @@
          .body =
              [this](std::string_view part)
          {
-             if (answer_.body.size() + part.size() <= max_body)
+             if (answer_.body.size() + part.size() <= max_body_bytes)
              {
                  answer_.body += part;
              }
          },
          .end = [this] { finish(std::move(answer_)); },
          .failed =
-             [this](call_failure why)
+             [this](call_failure failure)
          {
-             const auto code = why == call_failure::not_connected ? base::errc::unavailable
-                                                                  : base::errc::unknown_effect;
-             finish(base::make_error(code, "The connection ended before a whole answer came."));
+             const auto code = failure == call_failure::not_connected ? base::errc::unavailable
+                                                                      : base::errc::unknown_effect;
+             finish(base::make_error(
+                 code, "The connection ended before a complete answer was received."));
          }});
 }
 
-void whole_caller::finish(base::result<whole_answer> result)
+void buffered_caller::finish(base::result<buffered_answer> result)
 {
     timers_.cancel(deadline_);
     const auto action = std::move(done_);
@@ -103,10 +105,10 @@
         message.set(field::content_type, "application/json");
         message.content_length(body.size());
     }
-    return text_of(message);
+    return serialize(message);
 }
 
-std::string text_of(beast_http::request<beast_http::string_body>& message)
+std::string serialize(beast_http::request<beast_http::string_body>& message)
 {
     std::string out;
     beast_http::request_serializer<beast_http::string_body> serializer{message};
