--- a/models/attempts/attempts.pml
+++ b/models/attempts/attempts.pml
@@ -23,7 +23,7 @@
 #define UNKNOWN_EFFECT 4
 
 byte next_number[4];        /* by router and life */
-bool gave_up[16];           /* claim_book of each life, by attempt_id */
+bool gave_up[16];           /* claim_tracker of each life, by attempt_id */
 
 byte row_state = ABSENT;
 byte row_holder;
--- a/models/grants/grants.pml
+++ b/models/grants/grants.pml
@@ -30,7 +30,7 @@
 byte last_number[LIVES];            /* grant_sender */
 byte open[LIVES];                   /* grant_sender: unacknowledged, a bit a number */
 byte reported[LIVES];               /* slot_ledger: held */
-byte seen[LIVES];                   /* demand_board: the last report's sequence */
+byte seen[LIVES];                   /* demand_tracker: the last report's sequence */
 bool dead;                          /* the view: the first life has ended */
 
 /* The competitor. */
