--- a/tests/users_platform/router_fixture.cpp
+++ b/tests/users_platform/router_fixture.cpp
@@ -125,23 +125,23 @@
     return started;
 }
 
-std::shared_ptr<http_tests::raw_end> router_fixture::send_request(router::daemon& router,
-                                                                  const std::string& target,
-                                                                  const std::string& id,
-                                                                  const std::string& fields,
-                                                                  const std::string& body)
+std::shared_ptr<http_tests::raw_peer> router_fixture::send_request(router::daemon& router,
+                                                                   const std::string& target,
+                                                                   const std::string& id,
+                                                                   const std::string& fields,
+                                                                   const std::string& body)
 {
     auto end = http_tests::connect_to(loop, router.options().callers.port);
-    end->say("POST " + target + " HTTP/1.1\r\nHost: app.example\r\nX-Request-Id: " + id + "\r\n" +
-             fields + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
+    end->send("POST " + target + " HTTP/1.1\r\nHost: app.example\r\nX-Request-Id: " + id + "\r\n" +
+              fields + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
     return end;
 }
 
-bool router_fixture::receives_status(const std::shared_ptr<http_tests::raw_end>& end,
+bool router_fixture::receives_status(const std::shared_ptr<http_tests::raw_peer>& end,
                                      const std::string& code)
 {
-    return becomes_true([&] { return end->heard.find("\r\n\r\n") != std::string::npos; }) &&
-           end->heard.starts_with("HTTP/1.1 " + code);
+    return becomes_true([&] { return end->received.find("\r\n\r\n") != std::string::npos; }) &&
+           end->received.starts_with("HTTP/1.1 " + code);
 }
 
 std::string router_fixture::usable_upstreams(router::daemon& router)
--- a/tests/users_platform/router_fixture.hpp
+++ b/tests/users_platform/router_fixture.hpp
@@ -45,12 +45,12 @@
                                              const std::string& name, bool wait_until_ready);
 
     /// Sends a request on a new connection; `fields` are header fields, each ended by CRLF.
-    std::shared_ptr<http_tests::raw_end>
+    std::shared_ptr<http_tests::raw_peer>
     send_request(caraway::router::daemon& router, const std::string& target, const std::string& id,
                  const std::string& fields = "Api-Key: key-1\r\n",
                  const std::string& body = "body");
     /// Waits for the head of an answer; whether the status code begins with `code`.
-    bool receives_status(const std::shared_ptr<http_tests::raw_end>& end, const std::string& code);
+    bool receives_status(const std::shared_ptr<http_tests::raw_peer>& end, const std::string& code);
     /// Ids of the router's upstreams that aren't draining, each followed by a space.
     static std::string usable_upstreams(caraway::router::daemon& router);
     /// Whether a single log line contains all these parts.
--- a/tests/users_platform/test_cold_upstreams.cpp
+++ b/tests/users_platform/test_cold_upstreams.cpp
@@ -116,7 +116,7 @@
     send_requests(router, 1);
     const auto rejected = send_request(router, "/e/", "id-2");
     BOOST_REQUIRE(receives_status(rejected, "503"));
-    BOOST_TEST(rejected->heard.find("upstreams_cold") != std::string::npos);
+    BOOST_TEST(rejected->received.find("upstreams_cold") != std::string::npos);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/users_platform/test_crashes.cpp
+++ b/tests/users_platform/test_crashes.cpp
@@ -80,8 +80,8 @@
         const auto end = send_request(router, "/a/x", "bad-" + std::to_string(attempt),
                                       "Api-Key: key-1\r\n", crashing_body);
         BOOST_REQUIRE(
-            becomes_true([&] { return end->heard.find("\r\n\r\n") != std::string::npos; }));
-        rejected = end->heard.find("crashes_upstreams") != std::string::npos;
+            becomes_true([&] { return end->received.find("\r\n\r\n") != std::string::npos; }));
+        rejected = end->received.find("crashes_upstreams") != std::string::npos;
         // Requests of other callers detect which runners are unreachable.
         for (int number = 0; number < 6; ++number)
         {
--- a/tests/users_platform/test_drained_zones.cpp
+++ b/tests/users_platform/test_drained_zones.cpp
@@ -55,8 +55,8 @@
     {
         const auto end = send_request(router, prefix, "id-" + std::to_string(++requests_sent));
         BOOST_REQUIRE(
-            becomes_true([&] { return end->heard.find("\r\n\r\n") != std::string::npos; }));
-        return end->heard;
+            becomes_true([&] { return end->received.find("\r\n\r\n") != std::string::npos; }));
+        return end->received;
     }
 };
 
--- a/tests/users_platform/test_requests.cpp
+++ b/tests/users_platform/test_requests.cpp
@@ -56,8 +56,8 @@
                                   "Api-Key: key-1\r\nX-Deadline-Ms: 800\r\nX-Other: kept\r\n");
 
     BOOST_REQUIRE(receives_status(end, "200"));
-    BOOST_TEST(end->heard.ends_with("\r\n\r\nfrom i-1"));
-    BOOST_TEST(end->heard.find("X-Response-Seal: seal of i-1") != std::string::npos);
+    BOOST_TEST(end->received.ends_with("\r\n\r\nfrom i-1"));
+    BOOST_TEST(end->received.find("X-Response-Seal: seal of i-1") != std::string::npos);
     BOOST_REQUIRE(first.runs.size() == 1);
     const auto& received = first.runs[0];
     BOOST_TEST(received.method == "POST");
@@ -160,7 +160,7 @@
     const auto end = send_request(router, "/a/", "id-1");
 
     BOOST_TEST(receives_status(end, "502"));
-    BOOST_TEST(end->heard.find("X-Response-Seal") == std::string::npos);
+    BOOST_TEST(end->received.find("X-Response-Seal") == std::string::npos);
 }
 
 BOOST_AUTO_TEST_CASE(a_rejection_has_retry_after)
@@ -171,7 +171,7 @@
     const auto end = send_request(router, "/a/", "id-1");
 
     BOOST_TEST(receives_status(end, "503"));
-    BOOST_TEST(end->heard.find("Retry-After: ") != std::string::npos);
+    BOOST_TEST(end->received.find("Retry-After: ") != std::string::npos);
 }
 
 // Guards against a request being run by a service that its route doesn't name: a runner ended and
@@ -195,8 +195,8 @@
     const auto end = send_request(router, "/a/", "id-1");
 
     BOOST_TEST(receives_status(end, "500"));
-    BOOST_TEST(end->heard.find("X-Response-Seal: seal of i-1") != std::string::npos);
-    BOOST_TEST(end->heard.ends_with("failed"));
+    BOOST_TEST(end->received.find("X-Response-Seal: seal of i-1") != std::string::npos);
+    BOOST_TEST(end->received.ends_with("failed"));
 }
 
 BOOST_AUTO_TEST_CASE(an_answer_without_proof_is_not_forwarded)
@@ -212,7 +212,7 @@
     const auto end = send_request(router, "/a/", "id-1");
 
     BOOST_TEST(receives_status(end, "502"));
-    BOOST_TEST(end->heard.find("rubbish") == std::string::npos);
+    BOOST_TEST(end->received.find("rubbish") == std::string::npos);
 }
 
 BOOST_AUTO_TEST_CASE(a_request_that_was_sent_and_timed_out_gets_504)
@@ -276,14 +276,14 @@
             runner.send_event(current, 1);
         });
     const auto end = send_request(router, "/s/", "id-1", engine_fields);
-    BOOST_REQUIRE(becomes_true([&] { return end->heard.find("id: 1\n") != std::string::npos; }));
+    BOOST_REQUIRE(becomes_true([&] { return end->received.find("id: 1\n") != std::string::npos; }));
 
     first.send_event(first.runs[0], 2);
-    BOOST_REQUIRE(becomes_true([&] { return end->heard.find("id: 2\n") != std::string::npos; }));
-    BOOST_TEST(!end->heard.ends_with("0\r\n\r\n"));
+    BOOST_REQUIRE(becomes_true([&] { return end->received.find("id: 2\n") != std::string::npos; }));
+    BOOST_TEST(!end->received.ends_with("0\r\n\r\n"));
     first.runs[0].exchange->finish();
 
-    BOOST_TEST(becomes_true([&] { return end->heard.ends_with("0\r\n\r\n"); }));
+    BOOST_TEST(becomes_true([&] { return end->received.ends_with("0\r\n\r\n"); }));
 }
 
 // Guards against lost or repeated parts of a stream when a runner crashes in the middle of an event
@@ -326,13 +326,13 @@
     second.next_behaviours.push_back(handle);
     const auto end = send_request(router, "/s/", "id-1", engine_fields);
 
-    BOOST_REQUIRE(becomes_true([&] { return end->heard.ends_with("0\r\n\r\n"); }));
+    BOOST_REQUIRE(becomes_true([&] { return end->received.ends_with("0\r\n\r\n"); }));
     for (const auto* id : {"id: 1\n", "id: 2\n", "id: 3\n"})
     {
-        BOOST_TEST(http_tests::count_of(end->heard, id) == 1, id);
+        BOOST_TEST(http_tests::count_of(end->received, id) == 1, id);
     }
-    BOOST_TEST(end->heard.find("id: 2\nda\n") == std::string::npos);
-    BOOST_TEST(http_tests::count_of(end->heard, "HTTP/1.1 200") == 1);
+    BOOST_TEST(end->received.find("id: 2\nda\n") == std::string::npos);
+    BOOST_TEST(http_tests::count_of(end->received, "HTTP/1.1 200") == 1);
 }
 
 // Guards against a truncated stream that appears complete to its caller.
@@ -351,8 +351,8 @@
     const auto end = send_request(router, "/s/", "id-1", engine_fields);
 
     BOOST_REQUIRE(becomes_true([&] { return end->ended; }));
-    BOOST_TEST(end->heard.find("id: 1\n") != std::string::npos);
-    BOOST_TEST(!end->heard.ends_with("0\r\n\r\n"));
+    BOOST_TEST(end->received.find("id: 1\n") != std::string::npos);
+    BOOST_TEST(!end->received.ends_with("0\r\n\r\n"));
     BOOST_TEST(runs() == 1);
 }
 
@@ -377,7 +377,7 @@
     second.next_behaviours.push_back(handle);
     const auto end = send_request(router, "/s/", "id-1", engine_fields);
 
-    BOOST_TEST(becomes_true([&] { return end->heard.ends_with("0\r\n\r\n"); }));
+    BOOST_TEST(becomes_true([&] { return end->received.ends_with("0\r\n\r\n"); }));
     BOOST_TEST(runs() == 2);
 }
 
@@ -404,9 +404,9 @@
     second.next_behaviours.push_back(handle);
     const auto end = send_request(router, "/s/", "id-1", engine_fields);
 
-    BOOST_TEST(becomes_true([&] { return end->heard.ends_with("0\r\n\r\n"); }));
-    BOOST_TEST(http_tests::count_of(end->heard, "id: 1\n") == 1);
-    BOOST_TEST(http_tests::count_of(end->heard, "id: 2\n") == 1);
+    BOOST_TEST(becomes_true([&] { return end->received.ends_with("0\r\n\r\n"); }));
+    BOOST_TEST(http_tests::count_of(end->received, "id: 1\n") == 1);
+    BOOST_TEST(http_tests::count_of(end->received, "id: 2\n") == 1);
     BOOST_TEST(runs() == 2);
 }
 
@@ -422,14 +422,14 @@
             runner.send_event(current, 1);
         });
     const auto end = send_request(router, "/s/", "id-1", engine_fields);
-    BOOST_REQUIRE(becomes_true([&] { return end->heard.find("id: 1\n") != std::string::npos; }));
+    BOOST_REQUIRE(becomes_true([&] { return end->received.find("id: 1\n") != std::string::npos; }));
     const auto wait_end = clock.now() + std::chrono::milliseconds(1300);
     BOOST_REQUIRE(becomes_true([&] { return clock.now() > wait_end; }));
 
     first.send_event(first.runs.at(0), 2);
     first.runs.at(0).exchange->finish();
 
-    BOOST_TEST(becomes_true([&] { return end->heard.ends_with("0\r\n\r\n"); }));
+    BOOST_TEST(becomes_true([&] { return end->received.ends_with("0\r\n\r\n"); }));
     BOOST_TEST(runs() == 1);
 }
 
--- a/tests/users_platform/test_tables.cpp
+++ b/tests/users_platform/test_tables.cpp
@@ -165,9 +165,9 @@
     const auto listed_count = [&](caraway::router::daemon& router)
     {
         const auto end = http_tests::connect_to(loop, router.options().directory.port);
-        end->say("GET /resolve?name=app.example&region=r&zone=z1 HTTP/1.1\r\nHost: x\r\n\r\n");
-        becomes_true([&] { return end->heard.find('}') != std::string::npos; });
-        return http_tests::count_of(end->heard, "127.0.0.1:");
+        end->send("GET /resolve?name=app.example&region=r&zone=z1 HTTP/1.1\r\nHost: x\r\n\r\n");
+        becomes_true([&] { return end->received.find('}') != std::string::npos; });
+        return http_tests::count_of(end->received, "127.0.0.1:");
     };
     BOOST_TEST(
         becomes_true([&] { return listed_count(stopped) == 2 && listed_count(other) == 2; }));
@@ -190,11 +190,11 @@
     router.stop();
 
     const auto probe = http_tests::connect_to(loop, router.options().readiness.port);
-    probe->say("GET /readyz HTTP/1.1\r\nHost: x\r\n\r\n");
+    probe->send("GET /readyz HTTP/1.1\r\nHost: x\r\n\r\n");
     BOOST_TEST(receives_status(probe, "503"));
     const auto late = send_request(router, "/a/", "id-2");
     BOOST_TEST(receives_status(late, "200"));
-    BOOST_TEST(late->heard.find("Connection: close") != std::string::npos);
+    BOOST_TEST(late->received.find("Connection: close") != std::string::npos);
     first.succeed(first.runs[0], "at last");
     BOOST_TEST(receives_status(running, "200"));
     BOOST_TEST(becomes_true([&] { return router.ended(); }));
