--- a/src/libcaraway/routing/overload_guard.hpp
+++ b/src/libcaraway/routing/overload_guard.hpp
@@ -46,8 +46,7 @@
     double events = 0;
 
     /// Tokens per event's worth of work. Reading, placing and sending a request costs a router
-    /// about ten times as much as relaying an event (130,000 against 13,000 instructions, measured
-    /// with callgrind).
+    /// about ten times as much as relaying an event (130,000 against 13,000 instructions).
     double yield() const
     {
         constexpr double request_cost = 10;
